--- a/experiments/contract_drills.py
+++ b/experiments/contract_drills.py
@@ -1,6 +1,6 @@
 """Contract drills on real processes, two at a time: what the tenant got in each second, and what all others did.
 
-    python experiments/contract_drills.py 2 3     # two seeds, three gateways
+python experiments/contract_drills.py 2 3     # two seeds, three gateways
 """
 import sys
 from concurrent.futures import ThreadPoolExecutor
--- a/experiments/control_codec.py
+++ b/experiments/control_codec.py
@@ -111,8 +111,8 @@
 
                 found.append({"case": case, "records": len(part), "encoding": name + packed, "frames": len(bodies),
                               "bytes": sum(map(len, bodies)), "unpack_ms": least_ms(read)})
-                print("{case} ({records}): {encoding}: {bytes} bytes in {frames} frames, unpacked in {unpack_ms} ms"
-                      .format(**found[-1]), flush=True)
+                line = "{case} ({records}): {encoding}: {bytes} bytes in {frames} frames, unpacked in {unpack_ms} ms"
+                print(line.format(**found[-1]), flush=True)
     Path(__file__).with_suffix(".json").write_text(json.dumps(found, indent=1) + "\n")
 
 
--- a/experiments/lease_drills.py
+++ b/experiments/lease_drills.py
@@ -1,7 +1,7 @@
 """Many lease drills on real processes, four at a time: faults, and how long nobody acted after a trouble at the holder.
 
-    python experiments/lease_drills.py schedules 200 3        # seeds 1 to 200, three gateways; records in found/drills
-    python experiments/lease_drills.py single 30 3            # kill, stop, cut and leave by themselves, 30 of each
+python experiments/lease_drills.py schedules 200 3        # seeds 1 to 200, three gateways; records in found/drills
+python experiments/lease_drills.py single 30 3            # kill, stop, cut and leave by themselves, 30 of each
 """
 import sys
 from concurrent.futures import ThreadPoolExecutor
--- a/experiments/lease_model.py
+++ b/experiments/lease_model.py
@@ -1,6 +1,6 @@
 """Leases in the model: 3, 30 and 300 gateways, three to seven voters, frames lost; 16 seeds, 95% intervals, a plot.
 
-    python experiments/lease_model.py [PNG]
+python experiments/lease_model.py [PNG]
 """
 import sys
 from concurrent.futures import ProcessPoolExecutor
--- a/oakfork/lab/scale/added.py
+++ b/oakfork/lab/scale/added.py
@@ -281,8 +281,7 @@
 
 async def _plays(tier: Tier, parties: Parties, sizes: Sizes, size: int, plays: int, straight: bool, seed: int
                  ) -> list[tuple[str, Block, Block]]:
-    """Plays with changes of the list and without, in an order that the seed draws: which, bare calls, through gateways.
-    """
+    """Plays with and without changes of the list, in an order that the seed draws: which, bare calls, gateway calls."""
     dice, found = random.Random(seed), []
     servers = parties.addresses[:size]
     await tier.ready()
