--- a/experiments/contract_drills.py
+++ b/experiments/contract_drills.py
@@ -2,6 +2,7 @@
 
 python experiments/contract_drills.py 2 3     # two seeds, three gateways
 """
+
 import sys
 from concurrent.futures import ThreadPoolExecutor
 
@@ -24,12 +25,15 @@
                 shares = [share for drill in drills for share in drill.shares()]
                 got = [ok / RESERVED for drill in drills for ok in drill.tenant_ok[2:]]
                 others = [ok for drill in drills for ok in drill.others_ok[2:]]
-                print(f"{policy}, {kind}: the tenant got {numpy.mean(got):.2f} of what is reserved "
-                      f"(seconds: p1 {numpy.quantile(shares, 0.01):.2f}, p10 {numpy.quantile(shares, 0.1):.2f}, "
-                      f"p50 {numpy.quantile(shares, 0.5):.2f}); "
-                      f"99% of it in {numpy.mean([s >= 0.99 for s in shares]):.0%}, "
-                      f"90% in {numpy.mean([s >= 0.9 for s in shares]):.0%} of {len(shares)} seconds; "
-                      f"others {numpy.mean(others):.0f} a second", flush=True)
+                print(
+                    f"{policy}, {kind}: the tenant got {numpy.mean(got):.2f} of what is reserved "
+                    f"(seconds: p1 {numpy.quantile(shares, 0.01):.2f}, p10 {numpy.quantile(shares, 0.1):.2f}, "
+                    f"p50 {numpy.quantile(shares, 0.5):.2f}); "
+                    f"99% of it in {numpy.mean([s >= 0.99 for s in shares]):.0%}, "
+                    f"90% in {numpy.mean([s >= 0.9 for s in shares]):.0%} of {len(shares)} seconds; "
+                    f"others {numpy.mean(others):.0f} a second",
+                    flush=True,
+                )
 
 
 if __name__ == "__main__":
--- a/experiments/contract_model.py
+++ b/experiments/contract_model.py
@@ -3,6 +3,7 @@
 
     python experiments/contract_model.py [PNG]
 """
+
 import sys
 from concurrent.futures import ProcessPoolExecutor
 
@@ -33,24 +34,34 @@
                 for way in WAYS:
                     results = list(pool.map(play, [(way, gateways, loss, seed, kill_at) for seed in range(SEEDS)]))
                     rows[gateways, loss, kill_at, way] = results
-                    print(f"{gateways} gateways, {loss:.0%} lost{', allotter or owner dead for 4 s' * bool(kill_at)}, "
-                          f"{way}: got {told([r.got for r in results])} of what is reserved, "
-                          f"seconds kept {told([r.seconds_kept for r in results])}, "
-                          f"over {max(r.over for r in results):.3f}, "
-                          f"frames a second {told([r.frames for r in results])}, "
-                          f"waited {numpy.mean([r.waited for r in results]):.2f} ms, "
-                          f"state {max(r.state_bytes for r in results) / gateways:.0f} bytes a gateway", flush=True)
+                    print(
+                        f"{gateways} gateways, {loss:.0%} lost{', allotter or owner dead for 4 s' * bool(kill_at)}, "
+                        f"{way}: got {told([r.got for r in results])} of what is reserved, "
+                        f"seconds kept {told([r.seconds_kept for r in results])}, "
+                        f"over {max(r.over for r in results):.3f}, "
+                        f"frames a second {told([r.frames for r in results])}, "
+                        f"waited {numpy.mean([r.waited for r in results]):.2f} ms, "
+                        f"state {max(r.state_bytes for r in results) / gateways:.0f} bytes a gateway",
+                        flush=True,
+                    )
     if len(sys.argv) > 1:
         import matplotlib
+
         matplotlib.use("Agg")
         from matplotlib import pyplot
+
         figure, axes = pyplot.subplots(1, 2, figsize=(9, 3.5))
         sizes = (3, 30, 300)
         for way in WAYS:
             for axis, field in zip(axes, ("got", "frames"), strict=True):
                 chosen = [[getattr(r, field) for r in rows[size, 0.01, 0, way]] for size in sizes]
-                axis.errorbar(sizes, [numpy.mean(values) for values in chosen],
-                              [2 * stats.sem(values) for values in chosen], marker="o", label=way)
+                axis.errorbar(
+                    sizes,
+                    [numpy.mean(values) for values in chosen],
+                    [2 * stats.sem(values) for values in chosen],
+                    marker="o",
+                    label=way,
+                )
         for axis, what in zip(axes, ("share of what is reserved that the tenant got", "frames a second"), strict=True):
             axis.set(xlabel="gateways", ylabel=what, xscale="log")
             axis.legend()
--- a/experiments/control_codec.py
+++ b/experiments/control_codec.py
@@ -4,6 +4,7 @@
 
 The state is made up from a seed. A snapshot is counted as the frames that it is split into.
 """
+
 import json
 import random
 import time
@@ -25,23 +26,58 @@
     chance = random.Random(seed)
     services = [f"service-{number:04}" for number in range(SERVICES)]
     for name in services:
-        yield put(Kind.SERVICE, name, records.Service(tuple(
-            records.Method(method, aim, 4 * aim, records.Effect(chance.randrange(4)))
-            for method, aim in (("read", chance.choice((50, 100, 250))), ("write", chance.choice((250, 500, 1000)))))))
+        yield put(
+            Kind.SERVICE,
+            name,
+            records.Service(
+                tuple(
+                    records.Method(method, aim, 4 * aim, records.Effect(chance.randrange(4)))
+                    for method, aim in (
+                        ("read", chance.choice((50, 100, 250))),
+                        ("write", chance.choice((250, 500, 1000))),
+                    )
+                )
+            ),
+        )
     for number in range(SERVERS):
         host = f"10.{number // ZONE}.{number % ZONE // 250}.{number % 250 + 1}"
-        yield put(Kind.SERVER, f"server-{number:05}", records.Server(
-            records.packed_address(f"{host}:{chance.choice((8080, 8443))}"), f"zone-{number // ZONE:02}",
-            chance.choice(("small", "large")), number // 40, records.State.UP, chance.choice((1, 1, 2, 2.5)),
-            1_796_000_000_000 + chance.randrange(86_400_000), services[number % SERVICES]))
+        yield put(
+            Kind.SERVER,
+            f"server-{number:05}",
+            records.Server(
+                records.packed_address(f"{host}:{chance.choice((8080, 8443))}"),
+                f"zone-{number // ZONE:02}",
+                chance.choice(("small", "large")),
+                number // 40,
+                records.State.UP,
+                chance.choice((1, 1, 2, 2.5)),
+                1_796_000_000_000 + chance.randrange(86_400_000),
+                services[number % SERVICES],
+            ),
+        )
     for number in range(ROUTES):
-        yield put(Kind.ROUTE, f"route-{number:05}", records.Route(
-            f"{chance.randrange(400):03}.example.org", f"/v{chance.randrange(3)}/part-{number:05}/",
-            chance.choice(services), chance.choice(("", "GET", "POST"))))
+        yield put(
+            Kind.ROUTE,
+            f"route-{number:05}",
+            records.Route(
+                f"{chance.randrange(400):03}.example.org",
+                f"/v{chance.randrange(3)}/part-{number:05}/",
+                chance.choice(services),
+                chance.choice(("", "GET", "POST")),
+            ),
+        )
     for _ in range(TENANTS):
-        yield put(Kind.TENANT, f"{chance.getrandbits(64):016x}", records.Tenant(
-            chance.choice(("basic", "plus")), chance.choice((10, 50, 200.5)), chance.choice((20, 100)),
-            chance.randrange(2_700), chance.choice((1, 2, 4))))
+        yield put(
+            Kind.TENANT,
+            f"{chance.getrandbits(64):016x}",
+            records.Tenant(
+                chance.choice(("basic", "plus")),
+                chance.choice((10, 50, 200.5)),
+                chance.choice((20, 100)),
+                chance.randrange(2_700),
+                chance.choice((1, 2, 4)),
+            ),
+        )
 
 
 def put(kind: Kind, name: str, record: records.Record) -> tuple[Row, dict[str, Any]]:
@@ -49,8 +85,11 @@
     if kind is Kind.SERVER:
         table |= {"addr": records.told_address(record.addr), "state": record.state.name.lower()}
     if kind is Kind.SERVICE:
-        table["methods"] = [{field: getattr(method, field) for field in method.__struct_fields__}
-                            | {"effect": method.effect.name.lower()} for method in record.methods]
+        table["methods"] = [
+            {field: getattr(method, field) for field in method.__struct_fields__}
+            | {"effect": method.effect.name.lower()}
+            for method in record.methods
+        ]
     return Row(kind, name, records.pack(record)), {"kind": kind.name.lower(), "name": name, "value": table}
 
 
@@ -59,8 +98,14 @@
 
 
 def tables(rows: list[tuple[Row, dict[str, Any]]]) -> dict[str, Any]:
-    return {"kind": "delta", "after": [3, 1_000_000], "position": [3, 1_000_001], "digest": 1 << 63,
-            "rows": [table for _, table in rows], "more": False}
+    return {
+        "kind": "delta",
+        "after": [3, 1_000_000],
+        "position": [3, 1_000_001],
+        "digest": 1 << 63,
+        "rows": [table for _, table in rows],
+        "more": False,
+    }
 
 
 def maps(rows: list[tuple[Row, dict[str, Any]]]) -> bytes:
@@ -72,8 +117,10 @@
 
 
 ENCODINGS: dict[str, tuple[Callable, Callable]] = {
-    "msgpack arrays": (arrays, unpack_down), "msgpack maps": (maps, msgspec.msgpack.decode),
-    "JSON": (text, msgspec.json.decode)}
+    "msgpack arrays": (arrays, unpack_down),
+    "msgpack maps": (maps, msgspec.msgpack.decode),
+    "JSON": (text, msgspec.json.decode),
+}
 
 
 def frames(encode: Callable, rows: list[tuple[Row, dict[str, Any]]]) -> list[bytes]:
@@ -97,20 +144,32 @@
 def main() -> None:
     rows = list(state(1))
     servers = [pair for pair in rows if pair[0].kind is Kind.SERVER]
-    cases = {"one server": servers[:1], "a zone's servers": servers[:ZONE],
-             "a zone's servers gone": [(row._replace(value=None), table | {"value": None})
-                                       for row, table in servers[:ZONE]], "all": rows}
+    cases = {
+        "one server": servers[:1],
+        "a zone's servers": servers[:ZONE],
+        "a zone's servers gone": [(row._replace(value=None), table | {"value": None}) for row, table in servers[:ZONE]],
+        "all": rows,
+    }
     found = []
     for case, part in cases.items():
         for name, (encode, decode) in ENCODINGS.items():
             plain = frames(encode, part)
             for packed, bodies in (("", plain), (" and zlib", [zlib.compress(body) for body in plain])):
+
                 def read(bodies: list[bytes] = bodies, decode: Callable = decode, packed: str = packed) -> None:
                     for body in bodies:
                         decode(zlib.decompress(body) if packed else body)
 
-                found.append({"case": case, "records": len(part), "encoding": name + packed, "frames": len(bodies),
-                              "bytes": sum(map(len, bodies)), "unpack_ms": least_ms(read)})
+                found.append(
+                    {
+                        "case": case,
+                        "records": len(part),
+                        "encoding": name + packed,
+                        "frames": len(bodies),
+                        "bytes": sum(map(len, bodies)),
+                        "unpack_ms": least_ms(read),
+                    }
+                )
                 line = "{case} ({records}): {encoding}: {bytes} bytes in {frames} frames, unpacked in {unpack_ms} ms"
                 print(line.format(**found[-1]), flush=True)
     Path(__file__).with_suffix(".json").write_text(json.dumps(found, indent=1) + "\n")
--- a/experiments/fleet_codec.py
+++ b/experiments/fleet_codec.py
@@ -1,4 +1,5 @@
 """msgspec against struct for the messages of leases: bytes of a frame, time to pack and unpack it. Seven plays each."""
+
 import struct
 import timeit
 from functools import partial
@@ -15,8 +16,9 @@
 def packed(message: Ask | Grant) -> bytes:
     head = HEAD.pack(1, 2, *EDITION, 1)
     if isinstance(message, Ask):
-        return head + ASK.pack(1, message.task, message.gateway, message.life, message.term, message.round,
-                               message.length)
+        return head + ASK.pack(
+            1, message.task, message.gateway, message.life, message.term, message.round, message.length
+        )
     return head + GRANT.pack(2, message.task, message.voter, message.life, message.term, message.round)
 
 
@@ -37,9 +39,11 @@
     for name, message in CASES.items():
         ours, plain = codec.pack(2, EDITION, [message]), packed(message)
         assert codec.unpack(ours).messages == [message] == [unpacked(plain)]
-        print(f"{name}: msgspec {len(ours)} bytes, pack {microseconds(partial(codec.pack, 2, EDITION, [message]))} us, "
-              f"unpack {microseconds(partial(codec.unpack, ours))} us; struct {len(plain)} bytes, "
-              f"pack {microseconds(partial(packed, message))} us, unpack {microseconds(partial(unpacked, plain))} us")
+        print(
+            f"{name}: msgspec {len(ours)} bytes, pack {microseconds(partial(codec.pack, 2, EDITION, [message]))} us, "
+            f"unpack {microseconds(partial(codec.unpack, ours))} us; struct {len(plain)} bytes, "
+            f"pack {microseconds(partial(packed, message))} us, unpack {microseconds(partial(unpacked, plain))} us"
+        )
 
 
 if __name__ == "__main__":
--- a/experiments/readiness.py
+++ b/experiments/readiness.py
@@ -2,6 +2,7 @@
 
 So many processes (thirty) share so many cores (three: a tenth of one each), all started in one instant; prints when the
 first, the ninth tenth and the last answered GET /-/ready with 200. Bounded: sixty seconds, then all are ended."""
+
 import json
 import os
 import subprocess
@@ -27,8 +28,14 @@
             for index, place in enumerate(places):
                 path = Path(folder) / f"{index}.json"
                 path.write_text(json.dumps(told | {"listen": place, "peer_listen": None}))
-                processes.append(subprocess.Popen([sys.executable, "-m", "oakfork"], cwd=ROOT,
-                                                  stderr=subprocess.DEVNULL, env=os.environ | {"LB_CONFIG": str(path)}))
+                processes.append(
+                    subprocess.Popen(
+                        [sys.executable, "-m", "oakfork"],
+                        cwd=ROOT,
+                        stderr=subprocess.DEVNULL,
+                        env=os.environ | {"LB_CONFIG": str(path)},
+                    )
+                )
             while len(ready) < number and time.monotonic() < begun + 60:
                 for place in set(places) - ready.keys():
                     try:
@@ -42,8 +49,10 @@
                 process.kill()
                 process.wait()
     times = sorted(ready.values())
-    print(f"{len(times)} of {number} ready on {cores} cores; first {times[0]:.1f} s, nine in ten "
-          f"{times[min(len(times) - 1, number * 9 // 10 - 1)]:.1f} s, last {times[-1]:.1f} s")
+    print(
+        f"{len(times)} of {number} ready on {cores} cores; first {times[0]:.1f} s, nine in ten "
+        f"{times[min(len(times) - 1, number * 9 // 10 - 1)]:.1f} s, last {times[-1]:.1f} s"
+    )
 
 
 if __name__ == "__main__":
--- a/experiments/same_commands.py
+++ b/experiments/same_commands.py
@@ -5,6 +5,7 @@
 
 Each file is played with the decision module, at the first four points of its sweep, three seeds each.
 """
+
 import hashlib
 import sys
 
@@ -17,6 +18,7 @@
 
 class Recorded:
     """The decision module, with a digest kept of all that goes in and comes out."""
+
     digest = hashlib.sha256()
     events = commands = 0
 
@@ -39,8 +41,13 @@
             for seed in SEEDS:
                 Recorded.digest, Recorded.events, Recorded.commands = hashlib.sha256(), 0, 0
                 World(world, Recorded, seed).run()
-                print(path, dict(point), f"seed {seed}: {Recorded.events} events, {Recorded.commands} commands,",
-                      Recorded.digest.hexdigest()[:16], flush=True)
+                print(
+                    path,
+                    dict(point),
+                    f"seed {seed}: {Recorded.events} events, {Recorded.commands} commands,",
+                    Recorded.digest.hexdigest()[:16],
+                    flush=True,
+                )
 
 
 if __name__ == "__main__":
--- a/oakfork/__main__.py
+++ b/oakfork/__main__.py
@@ -1,12 +1,16 @@
 """One real gateway where nothing else is said, python -m oakfork; a sub-command otherwise."""
+
 import sys
 
 if __name__ == "__main__":
     if len(sys.argv) > 1:
         from oakfork.command import main
+
         main(prog_name="oakfork")
     else:
         from oakfork import early
+
         early.hold()
         from oakfork.serving import serve
+
         serve()
--- a/oakfork/birth.py
+++ b/oakfork/birth.py
@@ -1,4 +1,5 @@
 """The settings that a gateway is born with, in the project's words. No decision is taken here."""
+
 from oakfork.interface import SECOND, Birth, Method, Plan, Repeat
 
 
@@ -12,28 +13,58 @@
     specifics, stats, prices = info.get("specifics", {}), info.get("stats", {}), info.get("tariffs", {})
     repeats = {"read_like": Repeat.IDEMPOTENT, "idempotency_key": Repeat.DEDUPLICATED}
     methods = tuple(
-        Method(soft_deadline=tenths(row["aim-ms"]), deadline=tenths(row["deadline-ms"]),
-               repeat=repeats.get(row.get("effect"), Repeat.NON_IDEMPOTENT), group=row.get("group", "all"),
-               remembered=tenths(row.get("key-ttl-ms", 0)), utility=row.get("value", 1.0),
-               late_utility=row.get("late-worth", 0.0), streamed=bool(row.get("streamed", False)))
-        for row in info.get("classes", ()))
+        Method(
+            soft_deadline=tenths(row["aim-ms"]),
+            deadline=tenths(row["deadline-ms"]),
+            repeat=repeats.get(row.get("effect"), Repeat.NON_IDEMPOTENT),
+            group=row.get("group", "all"),
+            remembered=tenths(row.get("key-ttl-ms", 0)),
+            utility=row.get("value", 1.0),
+            late_utility=row.get("late-worth", 0.0),
+            streamed=bool(row.get("streamed", False)),
+        )
+        for row in info.get("classes", ())
+    )
     plans = tuple(
-        Plan(rate=row.get("refill", 0.0), burst=row.get("peak-units", 0.0), concurrency=int(row.get("concurrency", 0)),
-             ceiling_rate=row.get("never-over-rate", 0.0), ceiling_burst=row.get("ceiling-burst", 0.0),
-             ceiling_slack=row.get("cap-slack", 0.0), price=row.get("value-factor", 1.0),
-             beyond_utility=row.get("over-worth", 0.0), beyond_cost=row.get("beyond-costs", 0.0))
-        for row in info.get("tiers-of-service", ()))
+        Plan(
+            rate=row.get("refill", 0.0),
+            burst=row.get("peak-units", 0.0),
+            concurrency=int(row.get("concurrency", 0)),
+            ceiling_rate=row.get("never-over-rate", 0.0),
+            ceiling_burst=row.get("ceiling-burst", 0.0),
+            ceiling_slack=row.get("cap-slack", 0.0),
+            price=row.get("value-factor", 1.0),
+            beyond_utility=row.get("over-worth", 0.0),
+            beyond_cost=row.get("beyond-costs", 0.0),
+        )
+        for row in info.get("tiers-of-service", ())
+    )
     return Birth(
-        seed=seed, index=int(info.get("index", 0)), gateways=int(info.get("balancers", 1)),
-        zone=int(info.get("zone", 0)), methods=methods, plans=plans,
-        mail_per_s=specifics.get("mail-per-s", 0.0), most_units=specifics.get("units-top", 1),
-        settles=bool(specifics.get("settles", False)), peers=bool(limits.get("peers", False)),
-        cancel=bool(limits.get("cancel", False)), second_copies=bool(limits.get("parallel-tries", False)),
-        retry_after=bool(limits.get("retry-after", False)), probing=bool(limits.get("probing", False)),
-        max_call_outs=int(limits.get("attempts-cap", 1)), asks_list=info.get("discovery") == "subscribe",
+        seed=seed,
+        index=int(info.get("index", 0)),
+        gateways=int(info.get("balancers", 1)),
+        zone=int(info.get("zone", 0)),
+        methods=methods,
+        plans=plans,
+        mail_per_s=specifics.get("mail-per-s", 0.0),
+        most_units=specifics.get("units-top", 1),
+        settles=bool(specifics.get("settles", False)),
+        peers=bool(limits.get("peers", False)),
+        cancel=bool(limits.get("cancel", False)),
+        second_copies=bool(limits.get("parallel-tries", False)),
+        retry_after=bool(limits.get("retry-after", False)),
+        probing=bool(limits.get("probing", False)),
+        max_call_outs=int(limits.get("attempts-cap", 1)),
+        asks_list=info.get("discovery") == "subscribe",
         list_patience=tenths(rules.get("ask-within-ms", 0)) or SECOND,
-        report_names=tuple(stats.get("names", ())), report_how=stats.get("how", "off"),
-        drain_grace=tenths(rules.get("stop-sending-within-ms", 0)), cold_share=rules.get("cold-share", 1.0),
-        cold_time=tenths(rules.get("cold-ms", 0)), fall_multiple=rules.get("fall-multiple", 1.0),
-        fall_time=tenths(rules.get("fall-ms", 0)), probe_price=float(prices.get("probe", 0.0)),
-        connection_price=float(prices.get("handshake", 0.0)), idle_time=tenths(limits.get("conn-idle-ms", 0)))
+        report_names=tuple(stats.get("names", ())),
+        report_how=stats.get("how", "off"),
+        drain_grace=tenths(rules.get("stop-sending-within-ms", 0)),
+        cold_share=rules.get("cold-share", 1.0),
+        cold_time=tenths(rules.get("cold-ms", 0)),
+        fall_multiple=rules.get("fall-multiple", 1.0),
+        fall_time=tenths(rules.get("fall-ms", 0)),
+        probe_price=float(prices.get("probe", 0.0)),
+        connection_price=float(prices.get("handshake", 0.0)),
+        idle_time=tenths(limits.get("conn-idle-ms", 0)),
+    )
--- a/oakfork/brain/desk.py
+++ b/oakfork/brain/desk.py
@@ -1,4 +1,5 @@
 """What the parts work with: the time of the event in hand, its commands, timers, chance; what an RPC is."""
+
 import heapq
 import itertools
 from dataclasses import dataclass, field
@@ -12,13 +13,13 @@
 class Desk:
     def __init__(self, birth: face.Birth, now: int) -> None:
         self.now, self.born, self.chance, self.commands = now, now, birth.seed & MASK, []
-        self.alarms: list[tuple[int, int, Callable, tuple]] = []    # emptied as they come
-        self.order, self.woken, self.lag = itertools.count(), None, 0.0     # lag: how late its timers come
+        self.alarms: list[tuple[int, int, Callable, tuple]] = []  # emptied as they come
+        self.order, self.woken, self.lag = itertools.count(), None, 0.0  # lag: how late its timers come
 
     def begin(self, now: int, event: face.Event) -> None:
         self.now, self.commands = now, []
         if isinstance(event, face.TimeCame) and self.woken is not None and now >= self.woken:
-            self.lag, self.woken = self.lag + (now - self.woken - self.lag) * 0.2, None     # over five timers
+            self.lag, self.woken = self.lag + (now - self.woken - self.lag) * 0.2, None  # over five timers
 
     def finish(self) -> list[face.Command]:
         while self.alarms and self.alarms[0][0] <= self.now:
@@ -38,36 +39,36 @@
 
 
 class Shares(NamedTuple):
-    rate: float             # tokens a tenth of a millisecond
+    rate: float  # tokens a tenth of a millisecond
     capacity: float
-    concurrency: int        # call-outs out at once; 0: any
+    concurrency: int  # call-outs out at once; 0: any
 
 
-class Hold(NamedTuple):     # where an RPC's units and its place among the open call-outs were taken
-    table: dict | None      # of this gateway; None: at a peer
+class Hold(NamedTuple):  # where an RPC's units and its place among the open call-outs were taken
+    table: dict | None  # of this gateway; None: at a peer
     shares: Shares
     owner: int
-    life: int               # of the owner
+    life: int  # of the owner
     serial: int
 
 
 @dataclass(slots=True)
-class MethodRow:    # and the latencies learnt of the method
+class MethodRow:  # and the latencies learnt of the method
     method: face.Method
-    late: int       # two fifths of the soft deadline: an answer of usual length is in time after that
-    mean: float     # usual latency
-    pressure: float = 1.0   # usual at the servers chosen, as probes tell it
+    late: int  # two fifths of the soft deadline: an answer of usual length is in time after that
+    mean: float  # usual latency
+    pressure: float = 1.0  # usual at the servers chosen, as probes tell it
 
 
 @dataclass(slots=True)
-class Rpc:          # while it is unanswered or has call-outs out
+class Rpc:  # while it is unanswered or has call-outs out
     ask: face.Arrival
     row: MethodRow
-    dl: int                 # deadline, on the clock
+    dl: int  # deadline, on the clock
     run: Generator | None = None
-    step: int = 0           # tells an outdated alarm from the awaited one
-    out: dict[int, int] = field(default_factory=dict)       # call-out -> server
-    maybe: dict[int, tuple[int, int]] = field(default_factory=dict)     # may have run: -> server, sent at
+    step: int = 0  # tells an outdated alarm from the awaited one
+    out: dict[int, int] = field(default_factory=dict)  # call-out -> server
+    maybe: dict[int, tuple[int, int]] = field(default_factory=dict)  # may have run: -> server, sent at
     sent: int = 0
     asking: int = -1
     hold: Hold | None = None
--- a/oakfork/brain/links.py
+++ b/oakfork/brain/links.py
@@ -1,4 +1,5 @@
 """Links to the other gateways: frames paced and told apart, lives, and whether ours is the first."""
+
 from collections import deque
 from dataclasses import dataclass, field
 from typing import Callable
@@ -10,15 +11,15 @@
 
 @dataclass(slots=True)
 class Peer:
-    due: float              # when the next frame would go, had all gone evenly
-    life: int = 0           # 0 until it has been heard
-    again: bool = False     # it was heard in an earlier life as well
-    sent: int = 0           # number of the last frame to it
+    due: float  # when the next frame would go, had all gone evenly
+    life: int = 0  # 0 until it has been heard
+    again: bool = False  # it was heard in an earlier life as well
+    sent: int = 0  # number of the last frame to it
     window: wire.Window = field(default_factory=wire.Window)
-    queue: deque[bytes] = field(default_factory=deque)      # emptied by Links.flush
-    rate: float = 0.0       # frames a tenth of a millisecond
-    version: int = 0        # the latest version of frames that it has sent
-    missed: int = 0         # asks in a row without a reply
+    queue: deque[bytes] = field(default_factory=deque)  # emptied by Links.flush
+    rate: float = 0.0  # frames a tenth of a millisecond
+    version: int = 0  # the latest version of frames that it has sent
+    missed: int = 0  # asks in a row without a reply
     next_try: int = 0
     asks: dict[int, tuple[Rpc, int]] = field(default_factory=dict)  # emptied by answers, or after 4 s
 
@@ -26,12 +27,12 @@
 class Links:
     def __init__(self, birth: face.Birth, desk: Desk, readings: Callable[[], list[bytes]]) -> None:
         self.birth, self.desk, self.readings = birth, desk, readings
-        self.life, self.strange = 1 + desk.random(65535), 0     # names this start; frames not understood
-        self.strangers = set(range(max(2, birth.gateways))) - {birth.index}     # may know our earlier life
+        self.life, self.strange = 1 + desk.random(65535), 0  # names this start; frames not understood
+        self.strangers = set(range(max(2, birth.gateways))) - {birth.index}  # may know our earlier life
         self.even = 0.9 * max(1.0, birth.mail_per_s) / SECOND / max(1, birth.gateways - 1)
         self.swift = max(self.even, birth.mail_per_s / 4 / SECOND)  # at first; an ask with no reply halves it
         self.peers = {i: Peer(desk.now, rate=self.swift) for i in range(birth.gateways) if i != birth.index}
-        for i in self.peers if birth.peers and birth.mail_per_s else ():    # as fast as answers are taken in
+        for i in self.peers if birth.peers and birth.mail_per_s else ():  # as fast as answers are taken in
             turn = int(1 / self.even) * ((i - birth.index) % birth.gateways) // birth.gateways
             desk.at(desk.now + turn, self._greet, i, SECOND // 4)
 
@@ -43,7 +44,7 @@
         peer = self.peers[to]
         peer.queue.append(wire.pack_item(item))
         if len(peer.queue) == 1:
-            self.desk.at(self.desk.now + 1, self.flush, to)     # later in this batch's reply or in the next
+            self.desk.at(self.desk.now + 1, self.flush, to)  # later in this batch's reply or in the next
 
     def _greet(self, to: int, pause: int) -> None:
         """An empty frame, until the other is heard: those who never write could tell nobody's first life."""
@@ -53,13 +54,19 @@
 
     def flush(self, to: int, empty: bool = False) -> None:
         peer, now = self.peers[to], self.desk.now
-        ahead = now + 2 / peer.rate     # three frames may go at once
+        ahead = now + 2 / peer.rate  # three frames may go at once
         if (peer.queue or empty) and peer.due <= ahead:
             peer.due, peer.sent = max(peer.due, now) + 1 / peer.rate, (peer.sent + 1) & 0xFFFF
-            version = peer.version if peer.queue else wire.VERSION      # a greeting says what we understand
+            version = peer.version if peer.queue else wire.VERSION  # a greeting says what we understand
             items = wire.fill(peer.queue, self.readings() if version == wire.VERSION else ())
-            self.desk.commands.append(face.Tell(to, wire.pack(
-                self.life, peer.life, peer.sent, now // 10, items, peer.again, version or wire.OLDEST)))
+            self.desk.commands.append(
+                face.Tell(
+                    to,
+                    wire.pack(
+                        self.life, peer.life, peer.sent, now // 10, items, peer.again, version or wire.OLDEST
+                    ),
+                )
+            )
         if peer.queue:
             self.desk.at(now + int(peer.due - ahead) + 1, self.flush, to)
 
@@ -68,11 +75,11 @@
         frame, peer = wire.unpack(data), self.peers.get(sender)
         if frame is None or peer is None or not frame.life:
             self.strange += 1
-            if not self.strange & self.strange - 1:     # told at each doubling
+            if not self.strange & self.strange - 1:  # told at each doubling
                 self.desk.commands.append(face.Note(f"{self.strange} frames not understood"))
             return []
         peer.version = max(frame.version, peer.version * (frame.life == peer.life))
-        if frame.life != peer.life:     # it has restarted: what it held or was asked is void
+        if frame.life != peer.life:  # it has restarted: what it held or was asked is void
             if peer.life:
                 peer.again = True
                 peer.asks.clear()
@@ -87,5 +94,9 @@
         # Exception: asks of a stale backlog are skipped: 300 ms above the least delay seen from that peer.
         stale = peer.window.delay(self.desk.now // 10, frame.clock) > 300
         peer.missed = peer.missed if stale else 0
-        return [item for item in frame.items if getattr(item, "plan", 0) < len(self.birth.plans) and (
-            not stale if isinstance(item, wire.Ask | wire.Reading) else frame.to_life == self.life)]
+        return [
+            item
+            for item in frame.items
+            if getattr(item, "plan", 0) < len(self.birth.plans)
+            and (not stale if isinstance(item, wire.Ask | wire.Reading) else frame.to_life == self.life)
+        ]
--- a/oakfork/brain/quotas.py
+++ b/oakfork/brain/quotas.py
@@ -1,4 +1,5 @@
 """Quotas: a customer's bucket at its owner, asks to it, and the slice that decides where nobody answers."""
+
 from dataclasses import dataclass, field
 from typing import Generator
 
@@ -12,9 +13,10 @@
 @dataclass(slots=True)
 class Bucket:
     """Tokens of one customer, here as owner or in the local slice. Dropped by Quotas._check when full."""
+
     tokens: float
     updated: int
-    lacks: float = 0.0      # what it would hold besides, had it begun full
+    lacks: float = 0.0  # what it would hold besides, had it begun full
     leases: dict[tuple, int] = field(default_factory=dict)  # who has a call-out open -> when it is lost
 
 
@@ -22,17 +24,17 @@
     def __init__(self, birth: face.Birth, desk: Desk, links: Links, servers: Servers) -> None:
         self.birth, self.desk, self.links, self.servers = birth, desk, links, servers
         # By customer and plan: one plan's terms say nothing of another's.
-        self.buckets: dict[tuple[int, int], Bucket] = {}    # as owner; emptied by _check
-        self.slices: dict[tuple[int, int], Bucket] = {}     # without the owner; emptied by _check
+        self.buckets: dict[tuple[int, int], Bucket] = {}  # as owner; emptied by _check
+        self.slices: dict[tuple[int, int], Bucket] = {}  # without the owner; emptied by _check
         self.answers: dict[tuple[int, int, int], int] = {}  # ask -> wait; emptied after 4 s
-        self.refusals: dict[tuple[int, int], tuple[int, float]] = {}    # -> until, units; emptied then
-        self.serial, self.reply, self.filled = 0, 0.0, False    # reply: the usual wait for one
+        self.refusals: dict[tuple[int, int], tuple[int, float]] = {}  # -> until, units; emptied then
+        self.serial, self.reply, self.filled = 0, 0.0, False  # reply: the usual wait for one
 
     def owner(self, ask: face.Arrival) -> tuple[int, int]:
         """The owner of a customer and the number of its gateways: its id hashed over them, sorted."""
         total, first = self.birth.gateways, ask.first_gateway % self.birth.gateways
         number = min(total, max(1, ask.spread))
-        past = max(0, first + number - total)   # those counted round from 0 come first
+        past = max(0, first + number - total)  # those counted round from 0 come first
         place = ((ask.customer * 0x9E3779B97F4A7C15 & MASK) >> 33) % number
         return place if place < past else first + place - past, number
 
@@ -40,7 +42,7 @@
         """The owner's bucket and a gateway's slice. Exceptions: a slice holds one request, or says yes never;
         under a ceiling the slices but the owner's share all that it leaves: RPCs come unevenly."""
         rate, burst, top, most = plan.rate, plan.burst, plan.ceiling_rate, plan.ceiling_burst
-        if top and not rate:    # a ceiling alone: half for the owner, half for the slices
+        if top and not rate:  # a ceiling alone: half for the owner, half for the slices
             rate, burst = top / 2, most / 2
         local_rate, local_burst = rate / gateways, max(burst / gateways, self.birth.most_units)
         if top:
@@ -112,7 +114,7 @@
         # Exception: after two asks without a reply the owner counts as silent: one goes out each 250 ms.
         if self.birth.peers and self.birth.mail_per_s and (peer.missed < 2 or now >= peer.next_try):
             peer.next_try, rpc.asking, peer.asks[serial] = now + SECOND // 4, serial, (rpc, now)
-            self.desk.at(now + 4 * SECOND, peer.asks.pop, serial, None)     # far past any useful answer
+            self.desk.at(now + 4 * SECOND, peer.asks.pop, serial, None)  # far past any useful answer
             # A tenth of the soft deadline. Exceptions: where replies take longer, twice their usual time, up
             # to a third; where the slice has spent or has a ceiling's part only, it asks up to three times.
             soft = rpc.row.method.soft_deadline
@@ -169,7 +171,7 @@
                 self.reply += (self.desk.now - asked_at - self.reply) * 0.1
                 peer.rate = min(self.links.swift, peer.rate * 1.25)
             if rpc and (rpc.asking != item.serial or rpc.over):
-                if not item.wait:       # a late yes: its units go back
+                if not item.wait:  # a late yes: its units go back
                     self.links.post(sender, wire.Return(rpc.ask.customer, rpc.ask.plan, rpc.ask.units))
                     if self.birth.plans[rpc.ask.plan].concurrency:
                         self.links.post(sender, wire.Release(item.serial, rpc.ask.customer))
@@ -178,12 +180,12 @@
             self._give(self.buckets, item, self.shares(self.birth.plans[item.plan], 1)[0], item.units)
         elif isinstance(item, wire.Ask):
             holder = sender, peer.life, item.serial
-            if holder not in self.answers:      # repeated, it takes nothing again
+            if holder not in self.answers:  # repeated, it takes nothing again
                 shares = self.shares(self.birth.plans[item.plan], 1)[0]
                 self.answers[holder] = self._take(self.buckets, item, shares, holder)
                 self.desk.at(self.desk.now + 4 * SECOND, self.answers.pop, holder, None)
             self.links.post(sender, wire.Answer(item.serial, self.answers[holder]))
-        for plan in range(len(self.birth.plans)) if isinstance(item, wire.Release) else ():     # it has none
+        for plan in range(len(self.birth.plans)) if isinstance(item, wire.Release) else ():  # it has none
             if (item.customer, plan) in self.buckets:
                 self.buckets[item.customer, plan].leases.pop((sender, peer.life, item.serial), None)
         return rpc
--- a/oakfork/brain/rpcs.py
+++ b/oakfork/brain/rpcs.py
@@ -1,4 +1,5 @@
 """Each RPC is a generator, Brain._answer: yields until when it waits, last its answer; it gets what came."""
+
 from typing import Generator
 
 from oakfork import interface as face, peerwire as wire
@@ -15,9 +16,9 @@
         self.servers = Servers(birth, self.desk)
         self.links = Links(birth, self.desk, self.servers.readings)
         self.quotas = Quotas(birth, self.desk, self.links, self.servers)
-        self.rpcs: dict[int, Rpc] = {}          # emptied as RPCs end
+        self.rpcs: dict[int, Rpc] = {}  # emptied as RPCs end
         self.shortest = min((method.soft_deadline for method in birth.methods), default=SECOND)
-        self.let_in = 1.0                       # share of the RPCs let in, learnt from answers
+        self.let_in = 1.0  # share of the RPCs let in, learnt from answers
 
     def handle(self, now: int, event: face.Event) -> list[face.Command]:
         self.desk.begin(now, event)
@@ -45,7 +46,7 @@
             case face.ClientGone(rpc) if rpc in self.rpcs:
                 self._close(self.rpcs[rpc])
             case face.StreamStarted(rpc) if rpc in self.rpcs:
-                self.rpcs[rpc].step += 1    # no alarm wakes it any more
+                self.rpcs[rpc].step += 1  # no alarm wakes it any more
         return self.desk.finish()
 
     def _answer(self, rpc: Rpc) -> Generator[object, object, None]:
@@ -54,9 +55,9 @@
         share = min(self.let_in, max(0.1, 1.25 - 4 * self.desk.lag / self.shortest))
         if self.desk.random(1000) >= 1000 * share and not rpc.ask.reserved or not self.servers.choose(rpc):
             self.let_in = min(1.15, self.let_in * 1.01)
-            yield self._give_up(rpc)    # overload: refused before it costs an ask
+            yield self._give_up(rpc)  # overload: refused before it costs an ask
         wait = yield from self.quotas.admit(rpc)
-        plan = self.birth.plans[rpc.ask.plan]   # beyond the quota only where it says that this earns more
+        plan = self.birth.plans[rpc.ask.plan]  # beyond the quota only where it says that this earns more
         if wait and (plan.ceiling_rate or plan.beyond_utility <= plan.beyond_cost):
             yield face.PushBack(rpc.ask.rpc, -(-wait // SECOND) * SECOND if self.birth.retry_after else 0)
         copy_at, slow, server = 0, False, None
@@ -65,7 +66,7 @@
             if not rpc.out or copy and self.desk.now >= copy_at:
                 chosen = yield from self._look(rpc, min(soft, rpc.dl))
                 if chosen is not None:
-                    server = self._send(rpc, chosen)    # a copy comes later where looks are dear
+                    server = self._send(rpc, chosen)  # a copy comes later where looks are dear
                     copy_at = self.desk.now + rpc.row.late * (3 if self.servers.dear else 2) // 2
                 elif not rpc.out:
                     break
@@ -111,7 +112,7 @@
             return
         rpc.out.pop(event.call_out, None)
         elapsed = max(0, self.desk.now - sent_at - int(self.desk.lag))
-        blame = event.status != Status.MOOT and sent_at >= server.since      # not what an earlier process did
+        blame = event.status != Status.MOOT and sent_at >= server.since  # not what an earlier process did
         if blame and self.servers.judge(server, rpc.ask.method, event.status, elapsed):
             self.let_in = min(1.15, self.let_in * 1.15)
         if event.status in NEVER_RAN:
@@ -129,7 +130,7 @@
             rpc.over = True
             rpc.run.close()
             self.quotas.give_back(rpc, 0 if rpc.sent else rpc.ask.units)
-            stop = face.Cancel if self.birth.cancel else face.Recall    # what has not begun never does
+            stop = face.Cancel if self.birth.cancel else face.Recall  # what has not begun never does
             self.desk.commands.extend(stop(rpc.ask.rpc, call_out) for call_out in rpc.out)
         if not rpc.out:
             self.quotas.release(rpc)
@@ -142,14 +143,14 @@
         for _ in range(1 if servers.dear else 3):
             picks = servers.choose(rpc)
             heard = all(desk.now < servers.all[index].heard + SECOND for index in picks)
-            calm = heard or servers.trouble < servers.pays or desk.lag > self.shortest / 32     # its stalls
+            calm = heard or servers.trouble < servers.pays or desk.lag > self.shortest / 32  # its stalls
             if not self.birth.probing or calm and not asked and not rpc.out:
                 return next(iter(picks), None)
             for index in picks:
-                if servers.dear and desk.now < servers.all[index].seen_at + SECOND // 2:     # by whichever
+                if servers.dear and desk.now < servers.all[index].seen_at + SECOND // 2:  # by whichever
                     seen[index] = servers.all[index].seen
                 elif index not in asked:
-                    desk.commands += [face.Probe(index)] * (index not in servers.looks)     # one tells all
+                    desk.commands += [face.Probe(index)] * (index not in servers.looks)  # one tells all
                     servers.looks.setdefault(index, []).append(rpc)
                 asked.add(index)
             until = min(rpc.dl, desk.now + max(1, self.shortest // 15))
@@ -161,7 +162,7 @@
                 # Latency goes with pressure (four: a probe's own work); half is for what comes between.
                 slow = row.mean * (seen[index] + 4) / (row.pressure + 4)
                 fits = slow < (0.8 if servers.dear else 0.4) * (by - desk.now)
-                fits = fits and (not rpc.out or seen[index] <= row.pressure)    # a copy: where less is held
+                fits = fits and (not rpc.out or seen[index] <= row.pressure)  # a copy: where less is held
                 if fits and servers.may(rpc, index) and servers.room(servers.all[index]):
                     row.pressure += (seen[index] - row.pressure) * 0.05
                     return index
--- a/oakfork/brain/servers.py
+++ b/oakfork/brain/servers.py
@@ -1,4 +1,5 @@
 """Servers: the list, what answers and probes teach of each, which are fit, and the best two for an RPC."""
+
 import bisect
 from dataclasses import dataclass, field
 
@@ -10,23 +11,24 @@
 @dataclass(slots=True)
 class Server:
     """What this gateway has seen of a server, anew for each of its starts. Dropped by told when gone."""
+
     entry: face.ServerEntry
     open: dict[tuple[int, int], int] = field(default_factory=dict)  # call-out -> sent at; emptied as they end
     heard: int = 0
-    pace: float = 1.0       # latency against the method's mean
+    pace: float = 1.0  # latency against the method's mean
     mute: dict[int, int] = field(default_factory=dict)  # method that failed there -> until
-    limit: float = 1e9      # own call-outs at once, learnt from late answers and refusals
-    bad: float = 0.0        # recent share of call-outs that failed
-    trickle: int = 0        # own call-outs at once while it comes back; 0: it is back
+    limit: float = 1e9  # own call-outs at once, learnt from late answers and refusals
+    bad: float = 0.0  # recent share of call-outs that failed
+    trickle: int = 0  # own call-outs at once while it comes back; 0: it is back
     aside_until: int = 0
-    not_before: int = 0     # nothing is sent earlier: it was full
-    since: int = 0          # when this gateway was told of this process
-    sent_at: int = 0        # the last call-out to it; for a cold one, at first a point drawn by chance
-    mark: int = 0           # names it to other gateways: a hash, for ids may be alike
-    mine: bool = False      # one of those that this gateway keeps to
-    seen: int = 0           # how long a probe took there beyond the quickest of its zone
+    not_before: int = 0  # nothing is sent earlier: it was full
+    since: int = 0  # when this gateway was told of this process
+    sent_at: int = 0  # the last call-out to it; for a cold one, at first a point drawn by chance
+    mark: int = 0  # names it to other gateways: a hash, for ids may be alike
+    mine: bool = False  # one of those that this gateway keeps to
+    seen: int = 0  # how long a probe took there beyond the quickest of its zone
     seen_at: int = -SECOND  # when that was
-    order: int = 0          # its place in Servers.all: kept when it starts anew
+    order: int = 0  # its place in Servers.all: kept when it starts anew
 
 
 class Servers:
@@ -39,24 +41,24 @@
         self.mean_latency = min((row.mean for row in self.methods), default=SECOND / 10)
         # The usual latency in quiet times: falls with the mean at once, rises by 0.2% an answer after twenty.
         self.quiet, self.answers_seen = self.mean_latency, 0
-        self.trouble = 0.1                      # recent share of call-outs late or failed
+        self.trouble = 0.1  # recent share of call-outs late or failed
         # Before the list is asked for again; doubles. It takes three of the six seconds in which news is due.
         self.longest_pause = min(birth.list_patience, 2 * SECOND)
         self.list_pause = self.longest_pause // 3
         # A look asks two servers. It is to save more RPCs than it costs: a twentieth or both probes at least.
         self.pays, self.dear = max(0.05, 2 * birth.probe_price), 2 * birth.probe_price > 0.05
-        self.ready: list[int] = []              # sorted by key; up to sixteen by index
+        self.ready: list[int] = []  # sorted by key; up to sixteen by index
         self.key = lambda index: (self.all[index].mark if birth.connection_price else 0, index)
-        self.watched: set[int] = set()          # its own, gone, recalled: any change may concern them
-        self.place, self.among = 0, birth.gateways      # where its own servers begin; how many share a server
-        self.quickest: dict[int, int] = {}      # zone -> the quickest probe
-        self.looks: dict[int, list[Rpc]] = {}   # server probed -> who waits; emptied by a probe's end
-        self.marks: dict[int, int] = {}         # what names a server to others -> server; emptied by told
-        self.recent: list[int] = []             # the two servers looked at last
+        self.watched: set[int] = set()  # its own, gone, recalled: any change may concern them
+        self.place, self.among = 0, birth.gateways  # where its own servers begin; how many share a server
+        self.quickest: dict[int, int] = {}  # zone -> the quickest probe
+        self.looks: dict[int, list[Rpc]] = {}  # server probed -> who waits; emptied by a probe's end
+        self.marks: dict[int, int] = {}  # what names a server to others -> server; emptied by told
+        self.recent: list[int] = []  # the two servers looked at last
 
     def told(self, event: face.ServerList) -> None:
         desk = self.desk
-        if self.birth.asks_list and (event.failed or not self.all):     # on a failure, and at the start
+        if self.birth.asks_list and (event.failed or not self.all):  # on a failure, and at the start
             # Guards against an overbooked discovery: two seconds at the start, then pauses that double.
             pause, first = self.list_pause * event.failed, 2 * SECOND if event.entries else 1
             at = desk.now + pause // 2 + desk.random(pause or first)
@@ -71,7 +73,7 @@
             del self.ready[bisect.bisect_left(self.ready, self.key(index), key=self.key)]
         for entry in event.entries:
             server = self.all.get(entry.server) or Server(entry, since=desk.now, order=next(desk.order))
-            if entry.up_since != server.entry.up_since:     # another process: all is new
+            if entry.up_since != server.entry.up_since:  # another process: all is new
                 server = Server(entry, server.open, since=desk.now, order=server.order)
             server.entry, server.mark = entry, (entry.true_id * 0x9E3779B97F4A7C15 & MASK) >> 32
             self.all[entry.server], self.marks[server.mark] = server, entry.server
@@ -84,26 +86,41 @@
         size, total, price = len(self.ready), self.birth.gateways, self.birth.connection_price
         # Guards against connections and looks from each to each: it keeps to sixteen, shared by chance.
         self.place, each = size * self.birth.index // total, 16 * total / max(16, size)
-        self.among = min(total, int(each + each ** 0.5) + 1) if price else total
+        self.among = min(total, int(each + each**0.5) + 1) if price else total
         row = set(self._row(self.place) if price else ())
         near = self.watched.union(named, row, self.all if event.complete else ()) & self.all.keys()
         servers = sorted((self.all[index] for index in near), key=lambda server: server.order)
-        desk.commands += [face.Recall(*key) for server in servers for key, at in server.open.items()
-                          if server.entry.state != State.READY or at < server.since]
-        for index in [s.entry.server for s in servers if s.entry.state == State.GONE and not s.open and
-                      desk.now > max(s.sent_at, s.since) + self.longest and s.entry.server not in self.looks]:
-            self.marks.pop(self.all.pop(index).mark, None)      # no RPC can speak of it any more
+        desk.commands += [
+            face.Recall(*key)
+            for server in servers
+            for key, at in server.open.items()
+            if server.entry.state != State.READY or at < server.since
+        ]
+        for index in [
+            s.entry.server
+            for s in servers
+            if s.entry.state == State.GONE
+            and not s.open
+            and desk.now > max(s.sent_at, s.since) + self.longest
+            and s.entry.server not in self.looks
+        ]:
+            self.marks.pop(self.all.pop(index).mark, None)  # no RPC can speak of it any more
             desk.commands.append(face.Forget(index))
         for server in servers:
             mine = server.entry.state == State.READY and (server.entry.server in row or not price)
             if mine and not server.mine and (pause := self.pause(server)):
-                server.sent_at = desk.now - desk.random(pause)      # or all would send to it at once
+                server.sent_at = desk.now - desk.random(pause)  # or all would send to it at once
             server.mine = mine
-        self.watched = row.union(s.entry.server for s in servers if s.entry.state == State.GONE or s.open
-                                 and (s.entry.state != State.READY or min(s.open.values()) < s.since))
+        self.watched = row.union(
+            s.entry.server
+            for s in servers
+            if s.entry.state == State.GONE
+            or s.open
+            and (s.entry.state != State.READY or min(s.open.values()) < s.since)
+        )
 
     def _row(self, first: int) -> list[int]:
-        return self.ready[first:first + 16] + self.ready[:max(0, first + 16 - len(self.ready))]
+        return self.ready[first : first + 16] + self.ready[: max(0, first + 16 - len(self.ready))]
 
     def judge(self, server: Server, method: int, status: Status, elapsed: int) -> bool:
         """Learns from how a call-out ended; whether it was ok and in time."""
@@ -116,14 +133,14 @@
         server.heard = server.heard if status == Status.CANCELLED else now
         if status == Status.OK:
             # All gateways' limits add up: over the square of their number, growth settles at the same sum.
-            server.limit += 0 if late else min(4 / self.birth.gateways ** 2 / server.limit, server.limit / 2)
-            row.mean += (elapsed - row.mean) * 0.05     # over some twenty answers
+            server.limit += 0 if late else min(4 / self.birth.gateways**2 / server.limit, server.limit / 2)
+            row.mean += (elapsed - row.mean) * 0.05  # over some twenty answers
             self.mean_latency += (elapsed - self.mean_latency) * 0.05
             self.answers_seen += 1
             self.quiet = min(self.mean_latency, self.quiet * 1.002 if self.answers_seen > 20 else 1e9)
             server.pace += (elapsed / max(1.0, row.mean) - server.pace) * 0.1
             server.bad, server.trickle = server.bad * 0.8, server.trickle * 2 % 32  # doubles: all is well
-        elif status == Status.FULL:     # not ill, but no more for about an answer, and a mean late if chosen
+        elif status == Status.FULL:  # not ill, but no more for about an answer, and a mean late if chosen
             server.not_before, server.pace = now + 1 + int(row.mean), server.pace + 0.1
         elif status != Status.CANCELLED or late:
             # Guards against methods that fail there only, and failures too seldom to meet two, for some time.
@@ -151,8 +168,11 @@
     def readings(self) -> list[bytes]:
         """What was seen last, to ride along. Guards against looks that each of tens of gateways pays for."""
         recent = [self.all[i] for i in self.recent if i in self.all] if self.dear else ()
-        return [wire.pack_item(wire.Reading(server.mark, server.seen, self.desk.now - server.seen_at))
-                for server in recent if self.desk.now < server.seen_at + SECOND // 2]
+        return [
+            wire.pack_item(wire.Reading(server.mark, server.seen, self.desk.now - server.seen_at))
+            for server in recent
+            if self.desk.now < server.seen_at + SECOND // 2
+        ]
 
     def rank(self, server: Server) -> float:
         # Failing fast isn't quick. An eighth is chance. New connections cost. Cold ones are due after pauses.
@@ -170,7 +190,7 @@
         return int(self.quiet * self.among / (self.birth.fall_multiple * ramp))
 
     def room(self, server: Server) -> bool:
-        pause = self.pause(server)      # a cold one holds one of ours at most, if we share it
+        pause = self.pause(server)  # a cold one holds one of ours at most, if we share it
         free = len(server.open) < (int(server.mine) if pause else server.limit)
         return free and self.desk.now >= max(server.not_before, server.sent_at + pause)
 
@@ -187,7 +207,7 @@
         free = free and server is not None and server.entry.state == State.READY
         if not free or not rpc.maybe or method.repeat == Repeat.IDEMPOTENT:
             return free
-        first, sent_at = next(iter(rpc.maybe.values()))     # to be of its zone or cell; "all" is no field
+        first, sent_at = next(iter(rpc.maybe.values()))  # to be of its zone or cell; "all" is no field
         known = method.repeat == Repeat.DEDUPLICATED and self.desk.now < sent_at + method.remembered
         return known and len({getattr(self.all[i].entry, method.group, None) for i in (index, first)}) == 1
 
--- a/oakfork/command.py
+++ b/oakfork/command.py
@@ -3,6 +3,7 @@
 Exit codes: 0 done; 1 it went wrong while running (a run that failed, a rule broken, an address that can't be had);
 2 the user's mistake (a word on the line, a file that is not usable), told on one line a fault.
 """
+
 import dataclasses
 import json
 import os
@@ -72,8 +73,9 @@
     _fail(lines(error, where, faults), error.status)
 
 
-@click.group(cls=Group, later={"control": "oakfork.control.command"},
-             context_settings={"help_option_names": ["-h", "--help"]})
+@click.group(
+    cls=Group, later={"control": "oakfork.control.command"}, context_settings={"help_option_names": ["-h", "--help"]}
+)
 @click.version_option(__version__, message="%(version)s")
 def main() -> None:
     """A quota-keeping gateway for a shared API."""
@@ -84,6 +86,7 @@
 def serve(config: str | None) -> None:
     """Serve as a gateway, as `python -m oakfork` does, once the configuration has been found usable by its schema."""
     from oakfork.serving import serve as run
+
     if config:
         os.environ["LB_CONFIG"] = config
     path = os.environ.get("LB_CONFIG") or _fail("LB_CONFIG names no file, nor does --config")
@@ -96,6 +99,7 @@
     """All that the schema or the gateway's own reading finds wrong in a configuration."""
     from oakfork.format import faults_in
     from oakfork.sockets.configuration import read
+
     try:
         told = json.loads(Path(path).read_bytes())
     except (OSError, ValueError, RecursionError) as error:
@@ -142,6 +146,7 @@
 def fleet_check(file: str) -> None:
     """Check a fleet file: its edition, or each fault by its path."""
     from oakfork.fleet.file import read
+
     try:
         told = read(file)
     except FleetError as error:
@@ -159,12 +164,14 @@
 def contracts_check(file: str) -> None:
     """Check a book of contracts: each fault by its path, or the instant at which too much is reserved."""
     from oakfork.contracts.book import read
+
     try:
         book = read(file)
     except BookError as error:
         _refuse(error, file)
-    click.echo(f"{file}: usable, {len(book.contracts)} contracts, {len(book.sites)} sites, "
-               f"{book.capacity:g} legs a second")
+    click.echo(
+        f"{file}: usable, {len(book.contracts)} contracts, {len(book.sites)} sites, " f"{book.capacity:g} legs a second"
+    )
 
 
 @main.group(cls=Later, later={"scale": "oakfork.lab.scale.command"})
@@ -175,6 +182,7 @@
 
 def _experiment(path: str) -> Any:
     from oakfork.lab.experiment import read
+
     try:
         return read(path)
     except ExperimentError as error:
@@ -183,6 +191,7 @@
 
 def _results(folder: str) -> list[dict[str, Any]]:
     from oakfork.lab.sweep import load
+
     try:
         return load(Path(folder))
     except (OSError, ValueError) as error:
@@ -192,6 +201,7 @@
 
 def _row(result: dict[str, Any]) -> str:
     from oakfork.lab.compare import figures, plain
+
     if "failed" in result:
         return "FAILED: " + result["failed"]
     broken = ", ".join(f"{rule} {times} times" for rule, times in result["broken"].items())
@@ -208,6 +218,7 @@
 def lab_run(file: str, policy: str | None, seed: int | None, as_json: bool) -> int:
     """Play one run of an experiment, at the first point of its sweep."""
     from oakfork.lab.sweep import play
+
     experiment = _experiment(file)
     policy, seed = policy or experiment.policies[0], experiment.seeds[0] if seed is None else seed
     run = next((run for run in experiment.runs if run.policy == policy and run.seed == seed), None)
@@ -229,6 +240,7 @@
 def lab_sweep(file: str, folder: str, workers: int, quiet: bool) -> int:
     """Play all runs of an experiment over processes; run again, it goes on where it was."""
     from oakfork.lab.sweep import Sweep
+
     experiment = _experiment(file)
 
     def told(run: Any, result: dict[str, Any]) -> None:
@@ -247,12 +259,14 @@
 @click.argument("folder", type=click.Path(file_okay=False))
 @click.option("--base", default="two choices", show_default=True, help="The policy compared with.")
 @click.option("--other", default="oakfork", show_default=True, help="The policy compared.")
-@click.option("--with", "second", type=click.Path(file_okay=False),
-              help="Take the other from this sweep of the same seeds.")
+@click.option(
+    "--with", "second", type=click.Path(file_okay=False), help="Take the other from this sweep of the same seeds."
+)
 @click.option("--json", "as_json", is_flag=True, help="The differences as JSON.")
 def lab_compare(folder: str, base: str, other: str, second: str | None, as_json: bool) -> int:
     """Compare two policies by runs of the same seeds, with 95% confidence intervals."""
     from oakfork.lab.compare import compare, plain
+
     found = compare(_results(folder), base, other, _results(second) if second else None)
     if not found:
         _fail(f"{folder}: no runs of {base!r} and {other!r} with the same seeds")
@@ -262,8 +276,10 @@
             continue
         point = ", ".join(f"{path}={value}" for path, value in row.point)
         verdict = f"{plain(row.low)} to {plain(row.high)}" if row.told_apart else "can't be told from noise"
-        click.echo(f"{point + ': ' if point else ''}{row.figure}: {plain(row.base)} -> {plain(row.other)}  "
-                   f"difference {plain(row.mean)} ({verdict}; {row.pairs} pairs)")
+        click.echo(
+            f"{point + ': ' if point else ''}{row.figure}: {plain(row.base)} -> {plain(row.other)}  "
+            f"difference {plain(row.mean)} ({verdict}; {row.pairs} pairs)"
+        )
     return 0
 
 
@@ -298,35 +314,48 @@
 def lab_drill_leases(seeds: tuple[int, ...], keep: str | None, **told: Any) -> int:
     """Kill, stop, cut and delay gateways that take turns at one task; say what the witness saw."""
     from oakfork.lab.drills import lease_drill
+
     broken = 0
     for seed in seeds:
         try:
             drill = lease_drill(seed, keep=Path(keep) if keep else None, **told)
         except RigError as error:
             _refuse(error)
-        click.echo(f"seed {seed}: {len(drill.done)} troubles, {drill.acts} acts in {drill.terms} terms, "
-                   f"{sum(drill.refused.values())} refused; " + ("; ".join(drill.faults) or "no overlap, terms grow"))
+        click.echo(
+            f"seed {seed}: {len(drill.done)} troubles, {drill.acts} acts in {drill.terms} terms, "
+            f"{sum(drill.refused.values())} refused; " + ("; ".join(drill.faults) or "no overlap, terms grow")
+        )
         broken += bool(drill.faults)
     return WRONG if broken else 0
 
 
 @lab_drill.command("contracts")
-@click.option("--kind", default="allotter killed", show_default=True, type=click.Choice((
-    "calm", "allotter killed", "allotter stopped", "a gateway cut off", "a third of the servers gone")))
-@click.option("--policy", type=click.Choice(("contracts", "even parts", "no contracts")), default="contracts",
-              show_default=True)
+@click.option(
+    "--kind",
+    default="allotter killed",
+    show_default=True,
+    type=click.Choice(
+        ("calm", "allotter killed", "allotter stopped", "a gateway cut off", "a third of the servers gone")
+    ),
+)
+@click.option(
+    "--policy", type=click.Choice(("contracts", "even parts", "no contracts")), default="contracts", show_default=True
+)
 @click.option("--seed", type=int, default=1, show_default=True)
 @click.option("--gateways", type=click.IntRange(3, 64), default=3, show_default=True)
 def lab_drill_contracts(**told: Any) -> None:
     """All others ask for three times what the sites can do; say what a tenant got of what is reserved, by second."""
     from oakfork.lab.contractdrill import RESERVED, contract_drill
+
     try:
         drill = contract_drill(**told)
     except RigError as error:
         _refuse(error)
-    click.echo(f"{drill.kind}, {drill.policy}: the tenant has {RESERVED:g} legs a second reserved, asked for "
-               f"{' '.join(map(str, drill.tenant_asked))} and got {' '.join(map(str, drill.tenant_ok))}; others got "
-               f"{' '.join(map(str, drill.others_ok))}")
+    click.echo(
+        f"{drill.kind}, {drill.policy}: the tenant has {RESERVED:g} legs a second reserved, asked for "
+        f"{' '.join(map(str, drill.tenant_asked))} and got {' '.join(map(str, drill.tenant_ok))}; others got "
+        f"{' '.join(map(str, drill.others_ok))}"
+    )
 
 
 @lab.command("load")
@@ -344,6 +373,7 @@
 def lab_load(gateways: tuple[str, ...], as_json: bool, **told: Any) -> int:
     """Send an open-loop load to real gateways on loopback addresses, HOST:PORT each."""
     from oakfork.lab.load import Load, run
+
     try:
         report = run(Load(gateways=gateways, **told))
     except LoadError as error:
--- a/oakfork/contracts/book.py
+++ b/oakfork/contracts/book.py
@@ -2,6 +2,7 @@
 exceed what the sites can do with the largest one of them lost. Each fault is named by its path, or by the instant and
 the contracts.
 """
+
 from dataclasses import dataclass
 from datetime import UTC, date, datetime, time, timedelta
 from itertools import combinations
@@ -12,7 +13,7 @@
 from oakfork.format import against, read_toml
 
 LARGEST_FILE = 1024 * 1024
-MOST_SITES = 10         # all unions of sites are looked at
+MOST_SITES = 10  # all unions of sites are looked at
 MOST_INSTANTS = 100_000
 
 
@@ -21,36 +22,97 @@
 
 
 def _table(text: str, properties: dict[str, Any], *required: str) -> dict[str, Any]:
-    return {"type": "object", "additionalProperties": False, "description": text, "properties": properties,
-            "required": list(required)}
+    return {
+        "type": "object",
+        "additionalProperties": False,
+        "description": text,
+        "properties": properties,
+        "required": list(required),
+    }
 
 
 HOUR = {"type": "string", "pattern": "^([01][0-9]|2[0-3]):[0-5][0-9]$"}
-WINDOW = _table("when it holds, in UTC", {
-    "from": _a("string", "the first instant, with its offset: 2027-01-20T00:00:00Z", pattern="^....-..-..T.*$"),
-    "until": _a("string", "the first instant after it", pattern="^....-..-..T.*$"),
-    "daily_from": HOUR | {"description": "on each day from this time of day in UTC"},
-    "daily_until": HOUR | {"description": "until this one; past midnight if it is not after the first"},
-}, "from", "until")
-SCHEMA = {"$schema": "https://json-schema.org/draft/2020-12/schema"} | _table("the book", {
-    "site": _a("array", "what legs go to", minItems=1, maxItems=MOST_SITES, items=_table("a site", {
-        "name": _a("string", "its name", minLength=1, maxLength=64),
-        "legs_per_s": _a("number", "what it can do", exclusiveMinimum=0, maximum=1e6),
-        "home": _a("boolean", "it is what discovery lists: where an ordinary RPC's one leg goes; the first if none is"),
-    }, "name", "legs_per_s")),
-    "contract": _a("array", "what is reserved", maxItems=500, items=_table("a contract", {
-        "tenant": _a("string", "whose it is; its name in the log and in figures", minLength=1, maxLength=64),
-        "customers": _a("array", "ids of the tenant's customers, 16 hex digits each", minItems=1, maxItems=10_000,
-                        uniqueItems=True, items={"type": "string", "pattern": "^[0-9a-f]{16}$"}),
-        "legs_per_s": _a("number", "reserved over the whole fleet", exclusiveMinimum=0, maximum=1e6),
-        "burst": _a("number", "legs at once beyond the rate, over the whole fleet", minimum=1, maximum=1e6),
-        "open": _a("integer", "legs open at once, over the whole fleet", minimum=1, maximum=1_000_000),
-        "sites": _a("array", "where; all of them if left out", items={"type": "string"}, minItems=1, uniqueItems=True),
-        "window": _a("array", "when", minItems=1, maxItems=100, items=WINDOW),
-        "goes": _a("integer", "when the fleet falls below what is reserved, the highest number goes first", minimum=0,
-                   maximum=1000),
-    }, "tenant", "customers", "legs_per_s", "burst", "open", "window", "goes")),
-}, "site")
+WINDOW = _table(
+    "when it holds, in UTC",
+    {
+        "from": _a("string", "the first instant, with its offset: 2027-01-20T00:00:00Z", pattern="^....-..-..T.*$"),
+        "until": _a("string", "the first instant after it", pattern="^....-..-..T.*$"),
+        "daily_from": HOUR | {"description": "on each day from this time of day in UTC"},
+        "daily_until": HOUR | {"description": "until this one; past midnight if it is not after the first"},
+    },
+    "from",
+    "until",
+)
+SCHEMA = {"$schema": "https://json-schema.org/draft/2020-12/schema"} | _table(
+    "the book",
+    {
+        "site": _a(
+            "array",
+            "what legs go to",
+            minItems=1,
+            maxItems=MOST_SITES,
+            items=_table(
+                "a site",
+                {
+                    "name": _a("string", "its name", minLength=1, maxLength=64),
+                    "legs_per_s": _a("number", "what it can do", exclusiveMinimum=0, maximum=1e6),
+                    "home": _a(
+                        "boolean",
+                        "it is what discovery lists: where an ordinary RPC's one leg goes; the first if none is",
+                    ),
+                },
+                "name",
+                "legs_per_s",
+            ),
+        ),
+        "contract": _a(
+            "array",
+            "what is reserved",
+            maxItems=500,
+            items=_table(
+                "a contract",
+                {
+                    "tenant": _a(
+                        "string", "whose it is; its name in the log and in figures", minLength=1, maxLength=64
+                    ),
+                    "customers": _a(
+                        "array",
+                        "ids of the tenant's customers, 16 hex digits each",
+                        minItems=1,
+                        maxItems=10_000,
+                        uniqueItems=True,
+                        items={"type": "string", "pattern": "^[0-9a-f]{16}$"},
+                    ),
+                    "legs_per_s": _a("number", "reserved over the whole fleet", exclusiveMinimum=0, maximum=1e6),
+                    "burst": _a("number", "legs at once beyond the rate, over the whole fleet", minimum=1, maximum=1e6),
+                    "open": _a("integer", "legs open at once, over the whole fleet", minimum=1, maximum=1_000_000),
+                    "sites": _a(
+                        "array",
+                        "where; all of them if left out",
+                        items={"type": "string"},
+                        minItems=1,
+                        uniqueItems=True,
+                    ),
+                    "window": _a("array", "when", minItems=1, maxItems=100, items=WINDOW),
+                    "goes": _a(
+                        "integer",
+                        "when the fleet falls below what is reserved, the highest number goes first",
+                        minimum=0,
+                        maximum=1000,
+                    ),
+                },
+                "tenant",
+                "customers",
+                "legs_per_s",
+                "burst",
+                "open",
+                "window",
+                "goes",
+            ),
+        ),
+    },
+    "site",
+)
 
 
 @dataclass(frozen=True, slots=True)
@@ -73,7 +135,7 @@
 class Contract:
     tenant: str
     customers: frozenset[int]
-    rate: float             # legs a second, over the whole fleet
+    rate: float  # legs a second, over the whole fleet
     burst: float
     open: int
     sites: frozenset[str]
@@ -88,7 +150,7 @@
 class Book:
     sites: tuple[tuple[str, float], ...]
     contracts: tuple[Contract, ...]
-    home: str               # the site of an ordinary RPC's one leg
+    home: str  # the site of an ordinary RPC's one leg
 
     @property
     def capacity(self) -> float:
@@ -106,9 +168,13 @@
     faults = []
     homes = [site["name"] for site in told["site"] if site.get("home")]
     faults += [f"site: {' and '.join(homes)} are both home"] if len(homes) > 1 else []
-    book = Book(tuple((site["name"], float(site["legs_per_s"])) for site in told["site"]),
-                tuple(_contract(row, f"contract[{number}]", told, faults)
-                      for number, row in enumerate(told.get("contract", ()))), (homes or [told["site"][0]["name"]])[0])
+    book = Book(
+        tuple((site["name"], float(site["legs_per_s"])) for site in told["site"]),
+        tuple(
+            _contract(row, f"contract[{number}]", told, faults) for number, row in enumerate(told.get("contract", ()))
+        ),
+        (homes or [told["site"][0]["name"]])[0],
+    )
     names = [name for name, _ in book.sites]
     faults += [f"site: {name!r} stands there twice" for name in dict.fromkeys(names) if names.count(name) > 1]
     owners: dict[int, str] = {}
@@ -130,22 +196,28 @@
         place = f"{path}.window[{number}]"
         try:
             begins, ends = (datetime.fromisoformat(window[key]) for key in ("from", "until"))
-            begins, ends = (at.astimezone(UTC) if at.tzinfo else _refused(f"{place}: without an offset, such as Z")
-                            for at in (begins, ends))
+            begins, ends = (
+                at.astimezone(UTC) if at.tzinfo else _refused(f"{place}: without an offset, such as Z")
+                for at in (begins, ends)
+            )
             if begins >= ends:
                 raise BookError([f"{place}.until: not after from"])
             if ("daily_from" in window) != ("daily_until" in window):
                 raise BookError([f"{place}: daily_from and daily_until go together"])
-            daily = tuple(time.fromisoformat(window[key]) for key in ("daily_from", "daily_until")) \
-                if "daily_from" in window else None
+            daily = (
+                tuple(time.fromisoformat(window[key]) for key in ("daily_from", "daily_until"))
+                if "daily_from" in window
+                else None
+            )
             windows.append(Window(begins, ends, daily))
         except ValueError as error:
             faults.append(f"{place}: {error}")
         except BookError as error:
             faults += error.faults
     customers = frozenset(int(text, 16) for text in row["customers"])
-    return Contract(row["tenant"], customers, row["legs_per_s"], row["burst"], row["open"], sites, tuple(windows),
-                    row["goes"])
+    return Contract(
+        row["tenant"], customers, row["legs_per_s"], row["burst"], row["open"], sites, tuple(windows), row["goes"]
+    )
 
 
 def _refused(text: str) -> datetime:
@@ -173,8 +245,11 @@
     largest of all sites lost."""
     largest = max(rate for _, rate in book.sites)
     losses = [name for name, rate in book.sites if rate == largest]
-    unions = [frozenset(chosen) for size in range(1, len(book.sites) + 1)
-              for chosen in combinations([name for name, _ in book.sites], size)]
+    unions = [
+        frozenset(chosen)
+        for size in range(1, len(book.sites) + 1)
+        for chosen in combinations([name for name, _ in book.sites], size)
+    ]
     seen: set[frozenset[int]] = set()
     for number, instant in enumerate(_instants(book.contracts)):
         if number > MOST_INSTANTS:
@@ -192,6 +267,8 @@
                 able = sum(rate for name, rate in book.sites if name in union and name != lost)
                 if inside and reserved > able + 1e-9:
                     names = ", ".join(sorted(contract.tenant for contract in inside))
-                    yield (f"contract: at {instant.isoformat()} {names} have {reserved:g} legs a second reserved at "
-                           f"{', '.join(sorted(union))}, which can do {able:g} without {lost}")
+                    yield (
+                        f"contract: at {instant.isoformat()} {names} have {reserved:g} legs a second reserved at "
+                        f"{', '.join(sorted(union))}, which can do {able:g} without {lost}"
+                    )
                     return
--- a/oakfork/contracts/dealer.py
+++ b/oakfork/contracts/dealer.py
@@ -1,18 +1,20 @@
 """Deals a contract's parts by recent demand. Pure. What is dealt is advice on who lends to whom: that the parts
 never sum to more than the contract does not rest on it (`parts`)."""
+
 from typing import Mapping, NamedTuple, Sequence
 
 from oakfork.contracts.parts import LENDABLE
 
-HEADROOM = 5, 4     # a gateway gets a quarter more than it was asked for lately
-MOST_LENDERS = 16   # of one borrower, for its messages are bounded
-LEAST = 100         # thousandths of a leg a second: a smaller loan is not worth its messages
+HEADROOM = 5, 4  # a gateway gets a quarter more than it was asked for lately
+MOST_LENDERS = 16  # of one borrower, for its messages are bounded
+LEAST = 100  # thousandths of a leg a second: a smaller loan is not worth its messages
 
 
 class Deal(NamedTuple):
     """What one gateway is told of one contract."""
-    lends: int                              # in all, at most
-    borrows: tuple[tuple[int, int], ...]    # (lender, amount)
+
+    lends: int  # in all, at most
+    borrows: tuple[tuple[int, int], ...]  # (lender, amount)
 
 
 def targets(even: Sequence[int], demand: Mapping[int, int]) -> list[int]:
--- a/oakfork/contracts/gate.py
+++ b/oakfork/contracts/gate.py
@@ -5,22 +5,24 @@
 leg may draw it down to below nothing by its burst; any other has to leave in it what the tenants could take in
 `BACK`. So what is reserved and idle is lent by itself, and is back within `BACK` of being asked for.
 """
+
 from dataclasses import dataclass
 from typing import NamedTuple
 
 SECOND = 10_000
-BACK = SECOND // 5      # lent capacity is back after that
+BACK = SECOND // 5  # lent capacity is back after that
 THOUSAND = 1000
 
 
 class Verdict(NamedTuple):
     reserved: bool
-    wait: int           # 0: it may go; otherwise after that, it could
+    wait: int  # 0: it may go; otherwise after that, it could
 
 
 @dataclass(slots=True)
 class Bucket:
     """Thousandths of legs."""
+
     tokens: float
     updated: int
 
@@ -31,10 +33,11 @@
 
 class Tenant(NamedTuple):
     """One contract at this gateway while its window holds."""
-    part: int           # thousandths of a leg a second
-    burst: float        # legs
+
+    part: int  # thousandths of a leg a second
+    burst: float  # legs
     open: int
-    goes: int           # the highest goes first
+    goes: int  # the highest goes first
 
 
 def fitting(tenants: dict[int, Tenant], whole: int) -> dict[int, Tenant]:
@@ -51,13 +54,14 @@
     that starts again grants no second burst."""
 
     def __init__(self, now: int) -> None:
-        self.sites: dict[int, Bucket] = {}      # as many as sites
+        self.sites: dict[int, Bucket] = {}  # as many as sites
         self.buckets: dict[int, Bucket] = {}
         self.open: dict[int, int] = {}
         self.born = now
 
-    def takes(self, now: int, who: int | None, whole: int, tenants: dict[int, Tenant], legs: int = 1,
-              site: int = 0) -> Verdict:
+    def takes(
+        self, now: int, who: int | None, whole: int, tenants: dict[int, Tenant], legs: int = 1, site: int = 0
+    ) -> Verdict:
         """One leg or more to a site, of one of the `tenants` in force there, or of anybody else (None). `whole` is what
         the site can do for this gateway, in thousandths of a leg a second."""
         cost = legs * THOUSAND
@@ -73,7 +77,7 @@
                 there.tokens = max(-tenant.burst * THOUSAND - margin, there.tokens - cost)
                 self.open[who] = self.open.get(who, 0) + legs
                 return Verdict(True, 0)
-        if there.tokens - cost < margin:        # beyond what is reserved a tenant is as all others are
+        if there.tokens - cost < margin:  # beyond what is reserved a tenant is as all others are
             lacks = margin + cost - there.tokens
             return Verdict(False, max(1, int(lacks * SECOND / max(1, whole))))
         there.tokens -= cost
--- a/oakfork/contracts/parts.py
+++ b/oakfork/contracts/parts.py
@@ -6,24 +6,25 @@
 whoever deals, and whatever is lost, late or doubled. A gateway that has started has forgotten what it lent, and uses
 nothing for as long as a loan may last.
 """
+
 from typing import NamedTuple
 
 from oakfork.leases.lengths import Lengths
 
-LENDABLE = 9, 10    # of its even part: a tenth stays for a demand that comes at once
-MOST_LOANS = 64     # given or taken, a contract and gateway: those over are refused
+LENDABLE = 9, 10  # of its even part: a tenth stays for a demand that comes at once
+MOST_LOANS = 64  # given or taken, a contract and gateway: those over are refused
 
 
 class Loan(NamedTuple):
-    other: int          # the gateway
+    other: int  # the gateway
     amount: int
-    until: int          # on this gateway's clock
+    until: int  # on this gateway's clock
 
 
 class Part(NamedTuple):
     even: int
-    uses_from: int                      # nothing before
-    given: tuple[Loan, ...] = ()        # emptied as they end, at the next change
+    uses_from: int  # nothing before
+    given: tuple[Loan, ...] = ()  # emptied as they end, at the next change
     taken: tuple[Loan, ...] = ()
 
     def now(self, now: int) -> int:
--- a/oakfork/contracts/runner.py
+++ b/oakfork/contracts/runner.py
@@ -1,5 +1,6 @@
 """The trio part of contracts at one gateway: what it deals if it holds the lease, what it lends and borrows, and its
 gate."""
+
 import time
 import zlib
 from collections import Counter
@@ -20,11 +21,11 @@
 from oakfork.leases.lengths import Lengths
 from oakfork.leases.runner import Leases
 
-DEAL_EVERY = 0.5        # seconds
-KEPT = 4                # deals are heeded, and demand believed, for so many times that
-LOAN = 20_000           # tenths of a millisecond that a loan is counted by who borrows
-FRESH = 200             # what is in force is looked up anew after that
-LATELY = 0.4            # weight of the last interval in the demand
+DEAL_EVERY = 0.5  # seconds
+KEPT = 4  # deals are heeded, and demand believed, for so many times that
+LOAN = 20_000  # tenths of a millisecond that a loan is counted by who borrows
+FRESH = 200  # what is in force is looked up anew after that
+LATELY = 0.4  # weight of the last interval in the demand
 
 
 def key_of(contract: Contract, place: int) -> int:
@@ -41,14 +42,14 @@
         self.gateways, self.life = len(file.addresses), leases.life
         self.lengths = Lengths(LOAN, file.lengths.drift, 0, LOAN)
         self.gate = Gate(clock())
-        self.parts: dict[int, parts.Part] = {}      # as many as contracts and sites
-        self.asked: Counter[int] = Counter()        # legs in this interval, by key
-        self.demand: dict[int, float] = {}          # legs a second, by key
-        self.heard: dict[int, tuple[int, dict[int, int]]] = {}      # as allotter: gateway -> when, demand by key
-        self.deal: dict[int, tuple[int, int, tuple[tuple[int, int], ...]]] = {}     # key -> until, lends, borrows
-        self.out: dict[int, tuple[int, int, int]] = {}      # an asking -> key, lender, when; dropped after LOAN
+        self.parts: dict[int, parts.Part] = {}  # as many as contracts and sites
+        self.asked: Counter[int] = Counter()  # legs in this interval, by key
+        self.demand: dict[int, float] = {}  # legs a second, by key
+        self.heard: dict[int, tuple[int, dict[int, int]]] = {}  # as allotter: gateway -> when, demand by key
+        self.deal: dict[int, tuple[int, int, tuple[tuple[int, int], ...]]] = {}  # key -> until, lends, borrows
+        self.out: dict[int, tuple[int, int, int]] = {}  # an asking -> key, lender, when; dropped after LOAN
         self.number = 0
-        self.ready, self.most = 0, 0                # servers that are listed as ready; the most so far
+        self.ready, self.most = 0, 0  # servers that are listed as ready; the most so far
         # When what is in force was looked up, and that: by site what it can do here, and whose windows hold there.
         self.looked, self.force = -FRESH, {}
         self.take(read(path))
@@ -70,14 +71,16 @@
             del self.parts[key]
         for key, rate in rates.items():
             even = parts.even_part(rate, self.me, self.gateways)
-            self.parts[key] = self.parts[key]._replace(even=even) if key in self.parts else \
-                parts.started(even, now, self.lengths)
+            self.parts[key] = (
+                self.parts[key]._replace(even=even) if key in self.parts else parts.started(even, now, self.lengths)
+            )
         self.looked = -FRESH
 
     def rates(self) -> dict[int, float]:
         """What is dealt: each contract, and what each site can do."""
         return {key: contract.rate for key, contract in self.keys.items()} | {
-            key_of_site(name): rate for name, rate in self.book.sites}
+            key_of_site(name): rate for name, rate in self.book.sites
+        }
 
     def reread(self) -> None:
         """On SIGHUP. A book that is not usable changes nothing."""
@@ -95,9 +98,15 @@
         if now >= self.looked + FRESH:
             instant, self.looked = datetime.now(UTC), now
             held = {key: contract for key, contract in self.keys.items() if contract.holds(instant)}
-            tenants = {key: Tenant(self.parts[key].now(now), contract.burst / self.gateways,
-                                   parts.even(contract.open, self.me, self.gateways), contract.goes)
-                       for key, contract in held.items()}
+            tenants = {
+                key: Tenant(
+                    self.parts[key].now(now),
+                    contract.burst / self.gateways,
+                    parts.even(contract.open, self.me, self.gateways),
+                    contract.goes,
+                )
+                for key, contract in held.items()
+            }
             self.force = {}
             for name, _ in self.book.sites:
                 site = key_of_site(name)
@@ -167,7 +176,7 @@
                 for first in range(0, len(rows), 8):
                     if (may := self.leases.may_act("allot", gateway)) is not None:
                         term, life, end = may
-                        self.post.send(gateway, Dealt(self.me, life, term, end, rows[first:first + 8]))
+                        self.post.send(gateway, Dealt(self.me, life, term, end, rows[first : first + 8]))
                 await trio.lowlevel.checkpoint()
 
     def _dealt(self, sender: int, dealt: Dealt) -> None:
@@ -177,10 +186,12 @@
         for key, lends, borrows in dealt.deals:
             if key in self.parts:
                 self.deal[key] = now + round(KEPT * DEAL_EVERY * 10_000), lends, tuple(borrows)
-        rows = [(key, min(1_000_000_000, round(self.demand.get(key, 0.0) * 1000)), part.now(now))
-                for key, part in self.parts.items()]
+        rows = [
+            (key, min(1_000_000_000, round(self.demand.get(key, 0.0) * 1000)), part.now(now))
+            for key, part in self.parts.items()
+        ]
         for first in range(0, len(rows), 40):
-            self.post.send(sender, Demand(self.me, rows[first:first + 40]))
+            self.post.send(sender, Demand(self.me, rows[first : first + 40]))
 
     def _demand(self, sender: int, demand: Demand) -> None:
         if demand.gateway == sender:
@@ -205,8 +216,9 @@
         now, (until, lends, _) = clock(), self.deal.get(borrow.key, (0, 0, ()))
         if borrow.gateway != sender or borrow.key not in self.parts or now >= until or borrow.length > LOAN:
             return
-        self.parts[borrow.key], amount = parts.lends(self.parts[borrow.key], now, sender, borrow.amount, lends,
-                                                     self.lengths)
+        self.parts[borrow.key], amount = parts.lends(
+            self.parts[borrow.key], now, sender, borrow.amount, lends, self.lengths
+        )
         self.looked = -FRESH
         if amount:
             self.post.send(sender, Lent(self.me, borrow.life, borrow.number, borrow.key, amount))
@@ -216,4 +228,3 @@
         if lent.life == self.life and lent.lender == sender == lender and lent.key == key and key in self.parts:
             self.parts[key] = parts.borrowed(self.parts[key], clock(), lender, lent.amount, asked_at, self.lengths)
             self.looked = -FRESH
-
--- a/oakfork/control/agent.py
+++ b/oakfork/control/agent.py
@@ -1,6 +1,7 @@
 """The follower as a gateway runs it: its state, how old that is, and the servers' changes handed over as discovery
 would tell them. Over trio.
 """
+
 from collections import deque
 from itertools import islice
 from typing import Any, Callable, Sequence
@@ -14,8 +15,8 @@
 from oakfork.control.service import Engine, clock
 from oakfork.control.state import Records
 
-SLICE = 64      # records looked at, servers handed over at once
-MOST_WAITING = 16       # changes of state
+SLICE = 64  # records looked at, servers handed over at once
+MOST_WAITING = 16  # changes of state
 
 Rows = list[dict[str, Any]]
 
@@ -24,14 +25,21 @@
     """`in_force` is given at most SLICE servers at a time, of each one what is in force when it is given; it must not
     wait. `service`: only that one's servers, a server that leaves it is "removed"."""
 
-    def __init__(self, who: str, relays: Sequence[str], seed: int, log: BoundLogger,
-                 in_force: Callable[[Rows], None] | None = None, service: str | None = None) -> None:
+    def __init__(
+        self,
+        who: str,
+        relays: Sequence[str],
+        seed: int,
+        log: BoundLogger,
+        in_force: Callable[[Rows], None] | None = None,
+        service: str | None = None,
+    ) -> None:
         self.store, self.log, self.hand_over, self.service = Records(), log, in_force, service
         self.machine = Follower(who, relays, self.store, seed=seed)
         self.engine = Engine(self.machine, log, in_force=self._in_force)
         # What came into force and was not handed over: MOST_WAITING at most, then they coalesce; emptied by `run`.
         self.waiting: deque[events.Changes] = deque()
-        self.given: set[str] = set()            # servers handed over and not taken back
+        self.given: set[str] = set()  # servers handed over and not taken back
         self.news = trio.Event()
 
     @property
@@ -89,7 +97,7 @@
     def _hand(self, rows: Rows) -> None:
         try:
             self.hand_over(rows)
-        except Exception:   # a fault there costs these rows, not what follows
+        except Exception:  # a fault there costs these rows, not what follows
             self.engine.note("servers were not taken")
             self.log.exception("servers were not taken")
 
@@ -97,7 +105,7 @@
         server = self.record(Kind.SERVER, name)
         if server is None or self.service not in (None, server.service):
             if name not in self.given:
-                return None     # nothing is known of it there
+                return None  # nothing is known of it there
             self.given.discard(name)
             return records.discovery_row(name, None)
         self.given.add(name)
--- a/oakfork/control/client.py
+++ b/oakfork/control/client.py
@@ -1,4 +1,5 @@
 """What operators ask of a publisher: to take a change set, and how far those in force have come. Over trio."""
+
 import json
 from hashlib import blake2b
 from typing import Any, TypeVar
@@ -11,9 +12,9 @@
 from oakfork.errors import Break, PublisherSilent
 from oakfork.sockets.endings import Ending
 
-ANSWER = 10.0       # seconds for one answer
-PATIENCE = 30.0     # for all of them
-PAUSE, LONGEST_PAUSE = 0.25, 2.0    # between two askings, doubles
+ANSWER = 10.0  # seconds for one answer
+PATIENCE = 30.0  # for all of them
+PAUSE, LONGEST_PAUSE = 0.25, 2.0  # between two askings, doubles
 
 Answer = TypeVar("Answer", bound=Message)
 
@@ -34,8 +35,15 @@
         await link.run(take)
     if found and isinstance(found[0], kind):
         return found[0]
-    raise Break(Ending.SILENT if scope.cancelled_caught else Ending.MALFORMED if found == [None]
-                else Ending.TURNED_AWAY if found else Ending.ENDED)
+    raise Break(
+        Ending.SILENT
+        if scope.cancelled_caught
+        else Ending.MALFORMED
+        if found == [None]
+        else Ending.TURNED_AWAY
+        if found
+        else Ending.ENDED
+    )
 
 
 async def _patiently(place: str, asked: Message, kind: type[Answer], patience: float) -> Answer:
--- a/oakfork/control/command.py
+++ b/oakfork/control/command.py
@@ -2,6 +2,7 @@
 
 Exit codes as in oakfork/command.py: 0 done; 1 it went wrong while running; 2 the user's mistake.
 """
+
 import json
 import logging
 import sys
@@ -39,11 +40,18 @@
 
 def _log(who: str) -> "BoundLogger":
     import structlog
+
     structlog.configure(
-        processors=[structlog.processors.add_log_level, structlog.processors.format_exc_info,
-                    structlog.processors.TimeStamper(fmt="iso"), structlog.processors.JSONRenderer()],
+        processors=[
+            structlog.processors.add_log_level,
+            structlog.processors.format_exc_info,
+            structlog.processors.TimeStamper(fmt="iso"),
+            structlog.processors.JSONRenderer(),
+        ],
         wrapper_class=structlog.make_filtering_bound_logger(logging.INFO),
-        logger_factory=structlog.PrintLoggerFactory(sys.stderr), cache_logger_on_first_use=True)
+        logger_factory=structlog.PrintLoggerFactory(sys.stderr),
+        cache_logger_on_first_use=True,
+    )
     return structlog.get_logger(who=who)
 
 
@@ -53,6 +61,7 @@
 
     async def run() -> Any:
         return await work
+
     try:
         return trio.run(run)
     except OakforkError as error:
@@ -73,6 +82,7 @@
 def publisher(file: str) -> None:
     """Run the publisher that a file sets."""
     from oakfork.control import file as files, running
+
     try:
         told = files.read_publisher(file)
     except ControlError as error:
@@ -85,6 +95,7 @@
 def relay(file: str) -> None:
     """Run the relay that a file sets."""
     from oakfork.control import file as files, running
+
     try:
         told = files.read_relay(file)
     except ControlError as error:
@@ -99,17 +110,24 @@
 def follow(relays: tuple[str, ...], name: str, seed: int) -> None:
     """Follow relays, HOST:PORT each, as a gateway does; print a line of JSON for what comes into force."""
     from oakfork.control import running
+
     _run(running.follow(name, relays, seed, _log(name), lambda told: click.echo(json.dumps(told))))
 
 
 @control.command("publish")
 @click.argument("file", type=click.Path(dir_okay=False))
 @click.option("--to", "place", required=True, callback=_place, metavar=PLACE, help="The publisher.")
-@click.option("--seconds", type=click.FloatRange(0.1, 3600), default=30.0, show_default=True,
-              help="How long to ask again where no answer comes.")
+@click.option(
+    "--seconds",
+    type=click.FloatRange(0.1, 3600),
+    default=30.0,
+    show_default=True,
+    help="How long to ask again where no answer comes.",
+)
 def publish(file: str, place: str, seconds: float) -> None:
     """Submit a change file: print the position at which it is in force, or each fault. Safe to repeat."""
     from oakfork.control import client, schema
+
     try:
         with open(file, "rb") as opened:
             data = opened.read(schema.LARGEST_CHANGE + 1)
@@ -128,11 +146,17 @@
 @control.command("status")
 @click.argument("place", callback=_place, metavar=PLACE)
 @click.option("--json", "as_json", is_flag=True, help="The whole status as JSON.")
-@click.option("--seconds", type=click.FloatRange(0.1, 3600), default=10.0, show_default=True,
-              help="How long to ask again where no answer comes.")
+@click.option(
+    "--seconds",
+    type=click.FloatRange(0.1, 3600),
+    default=10.0,
+    show_default=True,
+    help="How long to ask again where no answer comes.",
+)
 def status(place: str, as_json: bool, seconds: float) -> None:
     """Ask the publisher what is in force everywhere, who is behind and since when."""
     from oakfork.control import client, shown
+
     told = _run(client.status(place, seconds))
     click.echo(json.dumps(told, sort_keys=True) if as_json else shown.text(told))
 
@@ -142,6 +166,7 @@
 def try_all(keep: str | None) -> None:
     """Start a publisher, two relays and three followers on this machine, publish an example, show the status."""
     from oakfork.control import trial
+
     try:
         trial.run(Path(keep) if keep else None, click.echo)
     except OakforkError as error:
--- a/oakfork/control/feeder.py
+++ b/oakfork/control/feeder.py
@@ -5,6 +5,7 @@
 position in the history it gets a Delta; otherwise, and where its digest differs, the digests by range, the ranges that
 it asks for, and a Delta of what changed since. Ranges are paced: so many bytes a second over all links.
 """
+
 from collections import deque
 from typing import Callable
 
@@ -52,13 +53,13 @@
 from oakfork.control.state import Store, whole
 from oakfork.control.turns import Below, Turn
 
-LINKS = 4_096           # at once: all 2,700 gateways at one relay, and as many again that aren't noticed to be gone
-NAMELESS = 10_000       # milliseconds for a Hello
-SLOW = 30_000           # for the answer to a frame; one that stood still for 20 s keeps its place
-EGRESS = 4_000_000      # bytes a second of ranges, over all links; docs/control.md has what that comes to
-MENDS = 4               # links that get ranges by turns; the others wait, so that those who began also end
-RECALLING = 2 * BEAT    # milliseconds in which who waits for what is recalled gets no ranges
-DELTAS = 16             # of several frames each, half sent; and encoded ones for the position in force
+LINKS = 4_096  # at once: all 2,700 gateways at one relay, and as many again that aren't noticed to be gone
+NAMELESS = 10_000  # milliseconds for a Hello
+SLOW = 30_000  # for the answer to a frame; one that stood still for 20 s keeps its place
+EGRESS = 4_000_000  # bytes a second of ranges, over all links; docs/control.md has what that comes to
+MENDS = 4  # links that get ranges by turns; the others wait, so that those who began also end
+RECALLING = 2 * BEAT  # milliseconds in which who waits for what is recalled gets no ranges
+DELTAS = 16  # of several frames each, half sent; and encoded ones for the position in force
 
 
 class Feeder:
@@ -66,23 +67,32 @@
     publisher hasn't been heard of, None: never. `way`: whom this one follows, and so on. Who drives it tells only of
     links that come in."""
 
-    def __init__(self, who: str, store: Store, position: Position, age: Callable[[int], int | None],
-                 history: History | None = None, egress: int = EGRESS, mends: int = MENDS, most: int = LINKS,
-                 way: Callable[[], tuple[str, ...]] = tuple) -> None:
+    def __init__(
+        self,
+        who: str,
+        store: Store,
+        position: Position,
+        age: Callable[[int], int | None],
+        history: History | None = None,
+        egress: int = EGRESS,
+        mends: int = MENDS,
+        most: int = LINKS,
+        way: Callable[[], tuple[str, ...]] = tuple,
+    ) -> None:
         self.who, self.store, self.position, self.age, self.way = who, store, position, age, way
         self.history = history or History(position, whole(store.sums))
         self.most, self.pace = most, Pace(egress, mends)
         self.roster, self.ranges = Roster(), Ranges(store)
         self.links: dict[int, Below] = {}
-        self.deltas: dict[Position, Changed] = {}   # by `after`; emptied with each position
-        self.held: set[int] = set()                 # ids of those that are half sent somewhere, DELTAS at most
-        self.blocked: deque[int] = deque()          # links that wait for one of them to be sent
-        self.digests: bytes | None = None           # encoded, of the position
-        self.beat_at: int | None = None     # the next one; None: nobody is there
-        self.beaten_at, self.told_way = 0, ()       # of the last Beat to all
-        self.recalled_by = 0                        # until then the history may come to reach further back
-        self.higher = 0                             # the highest term above its own that was heard of
-        self.outdated = self.left = False           # serves no one any more; opens nothing more
+        self.deltas: dict[Position, Changed] = {}  # by `after`; emptied with each position
+        self.held: set[int] = set()  # ids of those that are half sent somewhere, DELTAS at most
+        self.blocked: deque[int] = deque()  # links that wait for one of them to be sent
+        self.digests: bytes | None = None  # encoded, of the position
+        self.beat_at: int | None = None  # the next one; None: nobody is there
+        self.beaten_at, self.told_way = 0, ()  # of the last Beat to all
+        self.recalled_by = 0  # until then the history may come to reach further back
+        self.higher = 0  # the highest term above its own that was heard of
+        self.outdated = self.left = False  # serves no one any more; opens nothing more
         self.now, self.commands, self.asked, self.wake = 0, [], False, None
 
     # What happens
@@ -234,7 +244,7 @@
                 self._end(number, "slow")
                 continue
             if link.turn is Turn.THEIRS and lasted >= BEAT:
-                self.pace.drop(number)      # so that it holds nobody back; it gets in line again by its Ack
+                self.pace.drop(number)  # so that it holds nobody back; it gets in line again by its Ack
             self.commands.append(Say(number, frames[link.relay]))
         if self.links:
             self.beat_at = self.now + BEAT
@@ -309,14 +319,14 @@
         """By what it said last."""
         history, at = self.history, link.position
         if at > self.position or at == self.position and link.digest == history.digest(at):
-            self._turn(link, Turn.OURS)     # or it is ahead: in time it turns to another
+            self._turn(link, Turn.OURS)  # or it is ahead: in time it turns to another
         elif history.knows(at) and history.digest(at) in (None, link.digest):
             self._begin(number, link, at)
         elif history.passed(at) and link.passed_over != at:
-            link.passed_over = at   # again there: it failed. Guards against ranges for all who move in a burst
+            link.passed_over = at  # again there: it failed. Guards against ranges for all who move in a burst
             self._begin(number, link, at)
         elif self.now < self.recalled_by and at > EMPTY and not history.knows(at):
-            self._turn(link, Turn.OURS)     # until that has come, or the time is over
+            self._turn(link, Turn.OURS)  # until that has come, or the time is over
         else:
             self._tell_digests(number, link)
 
@@ -385,7 +395,7 @@
     def _after_ranges(self, number: int, link: Below) -> None:
         if self.history.knows(link.base):
             self._begin(number, link, link.base)
-        else:   # too much changed meanwhile: what differs now
+        else:  # too much changed meanwhile: what differs now
             self._tell_digests(number, link)
 
     def _pump(self) -> None:
--- a/oakfork/control/follower.py
+++ b/oakfork/control/follower.py
@@ -6,6 +6,7 @@
 It says one thing at a time and waits for the answer (`Hello`, `Ack`, `Want`), so at most one frame of the state is on
 its way to it; work on it is sliced (`More`, `Step`). Begin by a `TimeCame`.
 """
+
 from enum import Enum
 from typing import Generator, Sequence
 
@@ -49,20 +50,20 @@
 from oakfork.control.state import Store, whole
 
 # Milliseconds
-CONNECTING = 5_000          # for a connection to come about; two lost packets of its opening
-SILENCE = 3 * BEAT          # without a word, and the connection is given up
-STUCK = 10_000              # the sender has another position, and nothing comes of it: five beats told so
-MENDING = 600_000           # as STUCK, while ranges are awaited: those who ask wait for their turn
-STALE, STALEST = 10_000, 60_000     # the sender hasn't heard of the publisher: another is tried, then seldomer
-PAUSE, LONGEST_PAUSE = 250, 4_000   # after all relays were tried in vain; doubles
-HOME, LONGEST_HOME = 60_000, 960_000    # at another relay than the first, then that is tried; doubles while in vain
-FAILURES = 2                # in a row at one relay where the digest differs
+CONNECTING = 5_000  # for a connection to come about; two lost packets of its opening
+SILENCE = 3 * BEAT  # without a word, and the connection is given up
+STUCK = 10_000  # the sender has another position, and nothing comes of it: five beats told so
+MENDING = 600_000  # as STUCK, while ranges are awaited: those who ask wait for their turn
+STALE, STALEST = 10_000, 60_000  # the sender hasn't heard of the publisher: another is tried, then seldomer
+PAUSE, LONGEST_PAUSE = 250, 4_000  # after all relays were tried in vain; doubles
+HOME, LONGEST_HOME = 60_000, 960_000  # at another relay than the first, then that is tried; doubles while in vain
+FAILURES = 2  # in a row at one relay where the digest differs
 
 
 class Phase(Enum):
-    PAUSING = "pausing"         # until `since`
-    CONNECTING = "connecting"   # since `since`
-    GREETING = "greeting"       # Hello is said, Welcome awaited
+    PAUSING = "pausing"  # until `since`
+    CONNECTING = "connecting"  # since `since`
+    GREETING = "greeting"  # Hello is said, Welcome awaited
     FOLLOWING = "following"
     LEFT = "left"
 
@@ -71,18 +72,25 @@
     """`relays` are places to connect to, the first one first; at least one. `relay`: it serves others. `store` holds
     the state of `position`, and no one else commits to it. `seed`: of the chance in its pauses."""
 
-    def __init__(self, who: str, relays: Sequence[str], store: Store, position: Position = EMPTY, seed: int = 1,
-                 relay: bool = False) -> None:
+    def __init__(
+        self,
+        who: str,
+        relays: Sequence[str],
+        store: Store,
+        position: Position = EMPTY,
+        seed: int = 1,
+        relay: bool = False,
+    ) -> None:
         self.who, self.relays, self.store, self.position, self.relay = who, relays, store, position, relay
         self.chance = seed & ((1 << 64) - 1)
         self.now, self.commands = 0, []
         self.phase, self.since = Phase.PAUSING, 0
-        self.link, self.place = 0, 0        # the number of the last link (0: none yet); which of the relays
-        self.turns = 0                      # relays left in a row with nothing gained
-        self.heard_at = self.greeted_at = self.progress_at = self.moved_at = 0      # moved: to another position
-        self.told, self.told_at = position, None    # what the sender has, and when the publisher was heard of there
-        self.way: tuple[str, ...] = ()      # whom it follows, and whom that one follows, and so on; of the last Beat
-        self.publisher_at: int | None = None    # what is in force here was the publisher's then, or is younger
+        self.link, self.place = 0, 0  # the number of the last link (0: none yet); which of the relays
+        self.turns = 0  # relays left in a row with nothing gained
+        self.heard_at = self.greeted_at = self.progress_at = self.moved_at = 0  # moved: to another position
+        self.told, self.told_at = position, None  # what the sender has, and when the publisher was heard of there
+        self.way: tuple[str, ...] = ()  # whom it follows, and whom that one follows, and so on; of the last Beat
+        self.publisher_at: int | None = None  # what is in force here was the publisher's then, or is younger
         self.stale_wait, self.stale_at = STALE, 0
         self.home_wait, self.home_at, self.homing = HOME, 0, False  # homing: the first one was left for, nothing heard
         self.failures, self.mistrust = 0, False
@@ -92,10 +100,10 @@
     def _clear(self) -> None:
         """Throws away what is staged."""
         self.staged: Staged | None = None
-        self.base: Position | None = None   # while mending: what Digests were of
-        self.wanted: set[int] = set()       # ranges that haven't come whole yet
-        self.coming: tuple | None = None    # the positions and digest of a Delta that goes on
-        self.job: Generator[None, None, None] | None = None     # the work on the frame in hand
+        self.base: Position | None = None  # while mending: what Digests were of
+        self.wanted: set[int] = set()  # ranges that haven't come whole yet
+        self.coming: tuple | None = None  # the positions and digest of a Delta that goes on
+        self.job: Generator[None, None, None] | None = None  # the work on the frame in hand
 
     def age(self, now: int) -> int | None:
         """Milliseconds since what is in force here was what the publisher had, for all that is known; None where
@@ -233,7 +241,7 @@
                 self.told, self.told_at, self.way = position, None if age == UNKNOWN else self.now - age, way
                 homing, self.homing = self.homing, False
                 if homing and age > 2 * BEAT:
-                    return self._turn("home is behind")     # so that no time is lost there
+                    return self._turn("home is behind")  # so that no time is lost there
                 if self.who in way:
                     # Guards against relays that follow one another round: whatever is new comes to none of them, and
                     # what they tell of its age takes STALE to show it.
@@ -241,7 +249,7 @@
                 self._fresh()
             case Delta() | Digests() | Range() if self.job is None:
                 {Delta: self._delta, Digests: self._digests, Range: self._range}[type(message)](message)
-            case _:     # also what comes while there is work on the frame before: it wasn't asked for
+            case _:  # also what comes while there is work on the frame before: it wasn't asked for
                 self._turn("out of turn")
 
     def _welcome(self, told: Welcome) -> None:
@@ -281,8 +289,13 @@
         after = self.position if self.base is None else self.base
         forward = told.position > self.position or self.base is not None and told.position == self.position
         head = (told.after, told.position, told.digest)
-        if told.after != after or not forward or told.position < after or self.wanted or (
-                self.coming not in (None, head)):
+        if (
+            told.after != after
+            or not forward
+            or told.position < after
+            or self.wanted
+            or (self.coming not in (None, head))
+        ):
             return self.commands.append(Note("stale", f"delta after {told.after} to {told.position}"))
         self.staged = self.staged or Staged(self.store)
         self.coming, self.progress_at = head, self.now
@@ -358,5 +371,5 @@
         elif (job := self.job) is not None:
             for _ in job:
                 return
-            if self.job is job:     # it may have been thrown away on the way
+            if self.job is job:  # it may have been thrown away on the way
                 self.job = None
--- a/oakfork/control/frames.py
+++ b/oakfork/control/frames.py
@@ -1,4 +1,5 @@
 """Rows cut into frames, and encoded once for all who are sent the same. Pure."""
+
 from typing import Iterator, Sequence
 
 from oakfork.control.events import Changes, Key
@@ -9,8 +10,8 @@
 # A frame is read in one step by who gets it: so well below what may come (messages.py). A range of the full size,
 # 160,000 records in 256, is one frame.
 FRAME_ROWS, FRAME_BYTES = 1_024, 64 * 1024
-ROW_BYTES = 10      # of a row beside its name and value, at most
-BACKLOG = 16        # change sets that are not in the index yet; beyond, the oldest is brought in at once
+ROW_BYTES = 10  # of a row beside its name and value, at most
+BACKLOG = 16  # change sets that are not in the index yet; beyond, the oldest is brought in at once
 
 
 def cut(rows: Sequence[Row], start: int) -> int:
@@ -30,17 +31,22 @@
     def __init__(self, after: Position, position: Position, digest: int, changes: Changes) -> None:
         self.after, self.position, self.digest = after, position, digest
         self.rows = [Row(kind, name, value) for (kind, name), value in changes.items()]
-        self.start = 0              # of the first row that isn't in a frame yet
+        self.start = 0  # of the first row that isn't in a frame yet
         self.frames: list[bytes] = []
-        self.users = 0              # links that have had a frame and not the last one
+        self.users = 0  # links that have had a frame and not the last one
         self.frame(0)
-        self.long = self.start < len(self.rows)     # has more than one frame
+        self.long = self.start < len(self.rows)  # has more than one frame
 
     def frame(self, number: int) -> bytes:
         while len(self.frames) <= number:
             end = cut(self.rows, self.start)
-            self.frames.append(pack(Delta(self.after, self.position, self.digest, tuple(self.rows[self.start:end]),
-                                          end < len(self.rows))))
+            self.frames.append(
+                pack(
+                    Delta(
+                        self.after, self.position, self.digest, tuple(self.rows[self.start : end]), end < len(self.rows)
+                    )
+                )
+            )
             self.start = end
         return self.frames[number]
 
@@ -60,7 +66,7 @@
             if told is not None:
                 self.keys.setdefault(told[0], set()).add(told[1:])
         self.encoded: dict[int, list[bytes]] = {}
-        self.behind: list[Iterator[Key]] = []   # change sets to bring in, the oldest first; emptied by `work`
+        self.behind: list[Iterator[Key]] = []  # change sets to bring in, the oldest first; emptied by `work`
 
     def changed(self, changes: Changes) -> None:
         """In the store already."""
--- a/oakfork/control/framing.py
+++ b/oakfork/control/framing.py
@@ -3,15 +3,16 @@
 The topmost bit of the length says that the body goes by zlib, as it does where that makes it shorter and it is not
 small (experiments/control_codec.py has the bytes). A body is LARGEST_FRAME bytes at most, before and after.
 """
+
 import zlib
 from functools import lru_cache
 
 from oakfork.control.messages import LARGEST_FRAME
 
-HEAD = 4                # bytes of a frame's length
-ZIPPED = 1 << 31        # in it
-SMALL = 256             # bytes; smaller ones go as they are
-FRAMED = 320            # zipped bodies kept for all who are sent the same, as many as ranges and some; the oldest go
+HEAD = 4  # bytes of a frame's length
+ZIPPED = 1 << 31  # in it
+SMALL = 256  # bytes; smaller ones go as they are
+FRAMED = 320  # zipped bodies kept for all who are sent the same, as many as ranges and some; the oldest go
 
 
 @lru_cache(FRAMED)
--- a/oakfork/control/history.py
+++ b/oakfork/control/history.py
@@ -1,4 +1,5 @@
 """What changed from one position to the next, as far back as it is kept. Pure."""
+
 from collections import deque
 from typing import Callable, NamedTuple, Sequence
 
@@ -8,8 +9,8 @@
 # A day's 2,000 changes beside a zone's 2,560 servers gone and back twice; to merge all of it is one step of the event
 # loop of a relay or publisher, never of a gateway. Beyond that, ranges cost little more than the changes.
 MOST_ROWS = 16_384
-MOST_SETS = 4_096   # as many again, where sets have one row or none
-PAST_STEPS, PAST_KEYS = 512, 1_024      # of one answer to who recalls; with keys of any length less than a frame holds
+MOST_SETS = 4_096  # as many again, where sets have one row or none
+PAST_STEPS, PAST_KEYS = 512, 1_024  # of one answer to who recalls; with keys of any length less than a frame holds
 
 
 class _Set(NamedTuple):
@@ -22,12 +23,13 @@
     """Consecutive change sets. A new one pushes out the oldest that are too many; one that doesn't follow on the newest
     (or mends it, where it stands) pushes out all."""
 
-    def __init__(self, position: Position, digest: int | None, most_rows: int = MOST_ROWS,
-                 most_sets: int = MOST_SETS) -> None:
+    def __init__(
+        self, position: Position, digest: int | None, most_rows: int = MOST_ROWS, most_sets: int = MOST_SETS
+    ) -> None:
         self.most_rows, self.most_sets = most_rows, most_sets
-        self.sets: deque[_Set] = deque([_Set(position, {}, digest)])    # the first one is where the second began
+        self.sets: deque[_Set] = deque([_Set(position, {}, digest)])  # the first one is where the second began
         self.rows = 0
-        self.digests: dict[Position, int | None] = {position: digest}   # of just these positions
+        self.digests: dict[Position, int | None] = {position: digest}  # of just these positions
 
     @property
     def oldest(self) -> Position:
@@ -67,7 +69,7 @@
         """What led there, the latest step first; of more steps or keys the older ones are left for the next time, and
         a step of more keys than an answer has is where it ends."""
         steps: list[Before] = []
-        keys, later = 0, None       # the change set that followed on the one in hand
+        keys, later = 0, None  # the change set that followed on the one in hand
         for each in reversed(self.sets):
             if later is not None:
                 keys += len(later.changes)
@@ -102,7 +104,7 @@
 
     def _forget_oldest(self) -> None:
         gone = self.sets.popleft()
-        self.rows -= len(self.sets[0].changes)      # how its successor came about can't be told any more
+        self.rows -= len(self.sets[0].changes)  # how its successor came about can't be told any more
         self.sets[0] = self.sets[0]._replace(changes={})
         del self.digests[gone.position]
 
@@ -125,7 +127,7 @@
         if not (self.knows(after) or self.passed(after)):
             return None
         since: list[Changes] = []
-        for each in reversed(self.sets):    # those who ask lag by little
+        for each in reversed(self.sets):  # those who ask lag by little
             if each.position <= after:
                 break
             since.append(each.changes)
--- a/oakfork/control/links.py
+++ b/oakfork/control/links.py
@@ -4,6 +4,7 @@
 waits to go by OUTBOX; one that doesn't take what is written, or stops in the middle of a frame, is ended. The other
 end's silence between frames is the machines' to judge; that its machine is gone is seen by the kernel (GONE).
 """
+
 import socket
 from typing import Awaitable, Callable
 
@@ -16,18 +17,24 @@
 from oakfork.sockets.endings import Ending
 from oakfork.sockets.heads import bound
 
-AT_ONCE = 65_536        # bytes read at once
-OUTBOX = 8 * 1024 * 1024    # bytes that wait to go
-PATIENCE = 2.0          # seconds for a connection
-FIRST = 5.0             # for the first frame of one that came in
-WHOLE = 30.0            # for the rest of a frame that has begun
-TAKEN = 10.0            # for a write to be taken
-LAST = 1.0              # for what is left to go when it is closed
-GONE = 10_000           # milliseconds until what the other end's kernel doesn't acknowledge counts as lost
+AT_ONCE = 65_536  # bytes read at once
+OUTBOX = 8 * 1024 * 1024  # bytes that wait to go
+PATIENCE = 2.0  # seconds for a connection
+FIRST = 5.0  # for the first frame of one that came in
+WHOLE = 30.0  # for the rest of a frame that has begun
+TAKEN = 10.0  # for a write to be taken
+LAST = 1.0  # for what is left to go when it is closed
+GONE = 10_000  # milliseconds until what the other end's kernel doesn't acknowledge counts as lost
 
 ENDED, IN_FRAME, FOREIGN, STALLED, UNTAKEN, FULL, CLOSED = (
-    "ended", "ended in a frame", "not a frame of ours", "stalled in a frame", "did not take what was written",
-    "too much waits to go", "closed here")
+    "ended",
+    "ended in a frame",
+    "not a frame of ours",
+    "stalled in a frame",
+    "did not take what was written",
+    "too much waits to go",
+    "closed here",
+)
 Taker = Callable[[bytes], Awaitable[None]]
 
 
@@ -36,9 +43,9 @@
 
     def __init__(self, stream: trio.SocketStream, first: float = FIRST) -> None:
         self.stream, self.first = stream, first
-        self.outbox: list[bytes] = []       # emptied by the writer; OUTBOX bytes at most
-        self.waiting = 0                    # bytes in it
-        self.news = trio.Event()            # set when the outbox has something, or it is closed
+        self.outbox: list[bytes] = []  # emptied by the writer; OUTBOX bytes at most
+        self.waiting = 0  # bytes in it
+        self.news = trio.Event()  # set when the outbox has something, or it is closed
         self.closing = False
         self.scope = trio.CancelScope()
         self.ending = ""
@@ -93,8 +100,8 @@
                     return FOREIGN
                 if len(buffer) < HEAD + size:
                     break
-                body = bytes(buffer[HEAD:HEAD + size])
-                del buffer[:HEAD + size]
+                body = bytes(buffer[HEAD : HEAD + size])
+                del buffer[: HEAD + size]
                 if told & ZIPPED and (body := unzipped(body)) is None:
                     return FOREIGN
                 patience = float("inf")
@@ -140,7 +147,7 @@
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, GONE // 2000)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, 2)
-    except OSError:     # it has ended already
+    except OSError:  # it has ended already
         pass
 
 
--- a/oakfork/control/others.py
+++ b/oakfork/control/others.py
@@ -1,13 +1,14 @@
 """What a publisher hears of other publishers: their terms. Pure. Each is asked for its status time and again, so of
 two that were apart the older one knows it soon after the healing, though nobody follows both.
 """
+
 from typing import Sequence
 
 from oakfork.control.events import Close, Command, Connect, Connected, Event, Heard, Lost, Say, TimeCame
 from oakfork.control.messages import Ask, Status, pack
 from oakfork.control.status import term_of
 
-ASK = 10_000    # milliseconds from one time to the next; one that hasn't answered by then is asked anew
+ASK = 10_000  # milliseconds from one time to the next; one that hasn't answered by then is asked anew
 
 
 class Others:
@@ -15,7 +16,7 @@
 
     def __init__(self, places: Sequence[str]) -> None:
         self.places, self.highest = places, 0
-        self.open: set[int] = set()     # links, one a place at most
+        self.open: set[int] = set()  # links, one a place at most
         self.last, self.at = 0, 0
 
     @property
--- a/oakfork/control/pacing.py
+++ b/oakfork/control/pacing.py
@@ -1,4 +1,5 @@
 """Who is sent ranges, and when: a few links by turns, so many bytes a second over all of them. Pure."""
+
 from collections import deque
 
 
@@ -9,9 +10,9 @@
     def __init__(self, egress: int, most: int) -> None:
         self.egress, self.most = egress, most
         self.waiting: deque[int] = deque()  # for one of the few to be done
-        self.mending: set[int] = set()      # the few
-        self.ready: deque[int] = deque()    # of them: whose turn it is
-        self.free_at = 0                    # microseconds: when the next frame may be sent
+        self.mending: set[int] = set()  # the few
+        self.ready: deque[int] = deque()  # of them: whose turn it is
+        self.free_at = 0  # microseconds: when the next frame may be sent
 
     def ask(self, link: int) -> None:
         """It wants its next frame, and is in no queue."""
--- a/oakfork/control/publisher.py
+++ b/oakfork/control/publisher.py
@@ -5,6 +5,7 @@
 Of two publishers the higher term decides: one that hears of a higher term refuses all change sets from there on, and
 sends those who follow elsewhere.
 """
+
 from array import array
 from collections import deque
 from dataclasses import dataclass, field
@@ -39,16 +40,17 @@
 from oakfork.control.status import status
 from oakfork.errors import DatabaseError
 
-QUEUED = 64         # change sets that wait; one more is refused
-ASKERS = 16         # links that wait for the verdict on one
-ANSWERED = 65_536   # ids whose position is known, the oldest go
+QUEUED = 64  # change sets that wait; one more is refused
+ASKERS = 16  # links that wait for the verdict on one
+ANSWERED = 65_536  # ids whose position is known, the oldest go
 
-Parse = Callable[[bytes], tuple[Sequence[Row], Sequence[str]]]     # rows, or faults by their paths
+Parse = Callable[[bytes], tuple[Sequence[Row], Sequence[str]]]  # rows, or faults by their paths
 Contradictions = Callable[[Store, Sequence[Row]], Sequence[str]]
 
 
 class Entry(Protocol):
     """A stored change set: `position` followed on `before`."""
+
     before: Position
     position: Position
     rows: Sequence[Row]
@@ -58,11 +60,12 @@
 class _Submitted:
     id: str
     change: bytes
-    links: list[int] = field(default_factory=list)      # who waits for the verdict, ASKERS at most
+    links: list[int] = field(default_factory=list)  # who waits for the verdict, ASKERS at most
 
 
 class _Kept(NamedTuple):
     """On its way to the disk."""
+
     position: Position
     changes: Changes
     sums: array
@@ -73,10 +76,22 @@
     sets, both the oldest first. `term` is above all of that, and durable already. `told` hears of all changes, as soon
     as the store has them, for what `contradictions` knows of the state."""
 
-    def __init__(self, who: str, term: int, stored: Position, store: Store, parse: Parse,
-                 contradictions: Contradictions, *, entries: Iterable[Entry] = (),
-                 ids: Mapping[str, Position] | None = None, told: Callable[[Changes], None] | None = None,
-                 egress: int = EGRESS, most: int = LINKS, others: Sequence[str] = ()) -> None:
+    def __init__(
+        self,
+        who: str,
+        term: int,
+        stored: Position,
+        store: Store,
+        parse: Parse,
+        contradictions: Contradictions,
+        *,
+        entries: Iterable[Entry] = (),
+        ids: Mapping[str, Position] | None = None,
+        told: Callable[[Changes], None] | None = None,
+        egress: int = EGRESS,
+        most: int = LINKS,
+        others: Sequence[str] = (),
+    ) -> None:
         if term <= stored.term:
             raise DatabaseError(f"term {term} is not above {stored.term}, which is stored")
         self.store, self.parse, self.contradictions, self.told = store, parse, contradictions, told
@@ -84,16 +99,17 @@
         history = None
         for entry in entries:
             history = history or History(entry.before, None)
-            history.add(entry.before, entry.position, as_changes(entry.rows),
-                        digest if entry.position == stored else None)
+            history.add(
+                entry.before, entry.position, as_changes(entry.rows), digest if entry.position == stored else None
+            )
         if history is None or history.newest != stored:
             history = History(stored, digest)
-        history.add(stored, position, {}, digest)   # nothing has changed but the term
+        history.add(stored, position, {}, digest)  # nothing has changed but the term
         self.feeder = Feeder(who, store, position, lambda now: 0, history, egress, most=most)
         self.answered: dict[str, Position] = dict(ids or {})
-        self.queue: deque[_Submitted] = deque()     # the first one is worked on; emptied by verdicts
+        self.queue: deque[_Submitted] = deque()  # the first one is worked on; emptied by verdicts
         self.kept: _Kept | None = None
-        self.unsettled: str | None = None   # the id of one that was stored and could not be taken back: never answered
+        self.unsettled: str | None = None  # the id of one that was stored and could not be taken back: never answered
         self.others = Others(others)
         self.wake: int | None = None
         self.asked = False
@@ -114,7 +130,7 @@
         if isinstance(event, Step):
             self.asked = False
         if isinstance(event, TimeCame):
-            self.wake = None    # it is told anew, should this have come too early
+            self.wake = None  # it is told anew, should this have come too early
         match event:
             case Heard(link, Submit() | Ask() as message):
                 if link in self.feeder.links:
--- a/oakfork/control/records.py
+++ b/oakfork/control/records.py
@@ -1,6 +1,7 @@
 """The records that change sets are made of, and how they are packed: msgspec arrays, the same bytes for the same record
 at all times, since digests rest on them. Only the publisher packs; all others unpack what they look up.
 """
+
 import socket
 from enum import IntEnum
 from typing import Annotated, Any
@@ -10,11 +11,12 @@
 from oakfork.control.messages import Kind
 
 Word = Annotated[str, msgspec.Meta(max_length=256)]
-Amount = Annotated[int, msgspec.Meta(ge=0)] | Annotated[float, msgspec.Meta(ge=0)]     # whole ones pack as integers
+Amount = Annotated[int, msgspec.Meta(ge=0)] | Annotated[float, msgspec.Meta(ge=0)]  # whole ones pack as integers
 
 
 class Effect(IntEnum):
     """Of a method: idempotent, deduplicated, non-idempotent (both of the last)."""
+
     READ_LIKE = 0
     IDEMPOTENCY_KEY = 1
     NON_IDEMPOTENT = 2
@@ -23,6 +25,7 @@
 
 class State(IntEnum):
     """Of a server; one that is gone has no record."""
+
     UP = 0
     DRAINING = 1
 
@@ -33,6 +36,7 @@
 
 class Method(Record):
     """Soft deadline and deadline in milliseconds."""
+
     name: Word
     aim_ms: Amount
     deadline_ms: Amount
@@ -45,6 +49,7 @@
 
 class Server(Record):
     """`addr` as told, or as a number where it is an IPv4 address; `started_ms` in Unix time, 0: long ago."""
+
     addr: int | Word
     zone: Word
     kind: Word
@@ -57,6 +62,7 @@
 
 class Route(Record):
     """An RPC to that host, whose path begins so, of that method ("": any), goes to that service."""
+
     host: Word
     prefix: Word
     service: Word
@@ -65,6 +71,7 @@
 
 class Tenant(Record):
     """Rate in units a second, burst in units; its quota is kept by `spread` gateways from `first` on."""
+
     plan: Word
     rate: Amount
     burst: Amount
@@ -118,6 +125,13 @@
     server = unpack(Kind.SERVER, value) if value is not None else None
     if server is None:
         return {"id": name, "state": "removed"}
-    return {"id": name, "addr": told_address(server.addr), "zone": server.zone, "kind": server.kind,
-            "cell": server.cell, "state": server.state.name.lower(), "weight": server.weight,
-            "started_ms": server.started_ms}
+    return {
+        "id": name,
+        "addr": told_address(server.addr),
+        "zone": server.zone,
+        "kind": server.kind,
+        "cell": server.cell,
+        "state": server.state.name.lower(),
+        "weight": server.weight,
+        "started_ms": server.started_ms,
+    }
--- a/oakfork/control/relay.py
+++ b/oakfork/control/relay.py
@@ -3,6 +3,7 @@
 What it knows of those below it reports to whom it follows: who came and went, the lowest position, who is behind; at
 once on a new connection, then at most once a second and only what changed.
 """
+
 from typing import Sequence
 
 from oakfork.control.events import (
@@ -24,25 +25,33 @@
 from oakfork.control.state import Store
 from oakfork.control.status import status
 
-REPORT = 1_000      # milliseconds from one report to the next
+REPORT = 1_000  # milliseconds from one report to the next
 
 
 class Relay:
     """As Follower; `egress` and `most` as Feeder. Its state is in memory alone: it begins with none."""
 
-    def __init__(self, who: str, relays: Sequence[str], store: Store, seed: int = 1, egress: int = EGRESS,
-                 most: int = LINKS) -> None:
+    def __init__(
+        self, who: str, relays: Sequence[str], store: Store, seed: int = 1, egress: int = EGRESS, most: int = LINKS
+    ) -> None:
         self.store = store
         self.follower = Follower(who, relays, store, seed=seed, relay=True)
-        self.feeder = Feeder(who, store, self.follower.position, self.follower.age, egress=egress, most=most,
-                             way=lambda: self.follower.way)
-        self.reported_on = 0                    # the link that the last report went over
-        self.last: tuple | None = None          # what it said, but for names and times
-        self.report_at = 0                      # not before that
-        self.recalling = False                  # what led to its state is yet to be asked for, or to come
-        self.recalled_on = 0                    # the link that it was asked for on
-        self.higher = 0                         # the term for which it has turned away
-        self.report_due: int | None = None      # when there is something to report
+        self.feeder = Feeder(
+            who,
+            store,
+            self.follower.position,
+            self.follower.age,
+            egress=egress,
+            most=most,
+            way=lambda: self.follower.way,
+        )
+        self.reported_on = 0  # the link that the last report went over
+        self.last: tuple | None = None  # what it said, but for names and times
+        self.report_at = 0  # not before that
+        self.recalling = False  # what led to its state is yet to be asked for, or to come
+        self.recalled_on = 0  # the link that it was asked for on
+        self.higher = 0  # the term for which it has turned away
+        self.report_due: int | None = None  # when there is something to report
         self.wake: int | None = None
         self.asked = False
 
@@ -71,7 +80,7 @@
         if isinstance(event, Heard) and event.link < 0 and isinstance(event.message, Beat):
             self._take(now, self.feeder.pass_on(now), commands)
         if self.feeder.higher > max(self.higher, self.position.term):
-            self.higher = self.feeder.higher    # whom it follows may be of the past: it looks elsewhere, once a term
+            self.higher = self.feeder.higher  # whom it follows may be of the past: it looks elsewhere, once a term
             self._take(now, self.follower.turn(now, "higher term below"), commands)
         if not isinstance(event, Left):
             self._recall(now, commands)
--- a/oakfork/control/roster.py
+++ b/oakfork/control/roster.py
@@ -2,6 +2,7 @@
 
 Nothing here is needed to serve anyone; it answers whether a position is in force everywhere, and who is behind.
 """
+
 from bisect import bisect_right
 from dataclasses import dataclass, field
 from heapq import nsmallest
@@ -9,34 +10,35 @@
 
 from oakfork.control.messages import EMPTY, Behind, Position, Report
 
-MOST_NAMES = 16_384     # six times 2,700 gateways; beyond that the one gone for the longest goes, then none is taken in
-MOST_PATHS = 4          # links over which one name is reached: two while it moves, more only by what is wrong
-REPORTED = 1_024        # names of a report that came, and that went
-NAMED = 32              # of a report that are behind
-FORGOTTEN = 3_600_000   # milliseconds that one gone is remembered
-MOST_TIMES = 1_024      # positions whose time of coming is remembered, for how long one has been behind
+MOST_NAMES = 16_384  # six times 2,700 gateways; beyond that the one gone for the longest goes, then none is taken in
+MOST_PATHS = 4  # links over which one name is reached: two while it moves, more only by what is wrong
+REPORTED = 1_024  # names of a report that came, and that went
+NAMED = 32  # of a report that are behind
+FORGOTTEN = 3_600_000  # milliseconds that one gone is remembered
+MOST_TIMES = 1_024  # positions whose time of coming is remembered, for how long one has been behind
 
 
 @dataclass(slots=True)
 class _Below:
     """One link: who follows on it, and, where that is a relay, what it last reported."""
+
     who: str
     relay: bool
     position: Position
-    names: dict[str, None] = field(default_factory=dict)    # reached over it, itself also
-    told: Report | None = None      # the last one's lowest, behind, others_behind
+    names: dict[str, None] = field(default_factory=dict)  # reached over it, itself also
+    told: Report | None = None  # the last one's lowest, behind, others_behind
     told_at: int = 0
 
 
 class Roster:
     def __init__(self) -> None:
-        self.links: dict[int, _Below] = {}          # emptied by `lost`
-        self.names: dict[str, list[int]] = {}       # connected -> over which links; the latest last
+        self.links: dict[int, _Below] = {}  # emptied by `lost`
+        self.names: dict[str, list[int]] = {}  # connected -> over which links; the latest last
         self.gone: dict[str, tuple[int, str]] = {}  # when, and whom it followed; the first gone first
-        self.news: dict[str, bool] = {}             # came or went since the last report; emptied by reporting
-        self.times: list[tuple[Position, int]] = []     # when it came in force here; the oldest go
-        self.left_out = 0       # names that there was no room for
-        self.changed = True     # something a report would tell
+        self.news: dict[str, bool] = {}  # came or went since the last report; emptied by reporting
+        self.times: list[tuple[Position, int]] = []  # when it came in force here; the oldest go
+        self.left_out = 0  # names that there was no room for
+        self.changed = True  # something a report would tell
 
     # What happens
 
@@ -44,7 +46,7 @@
         """Here, and so to be had by those below."""
         self.changed = True
         if self.times and position <= self.times[-1][0]:
-            return      # mended where it was
+            return  # mended where it was
         self.times.append((position, now))
         del self.times[:-MOST_TIMES]
 
@@ -134,7 +136,7 @@
             nonlocal told, others
             for link, below in self.links.items():
                 for one in self._behind_over(now, mine, link, below):
-                    if self.names.get(one.who, (0,))[-1] == link:   # not where it was before
+                    if self.names.get(one.who, (0,))[-1] == link:  # not where it was before
                         told += 1
                         yield one
                 if below.told is not None:
@@ -155,7 +157,7 @@
                 if one.position < mine and one.who not in named:
                     named.add(one.who)
                     yield one._replace(since=one.since + now - below.told_at)
-        if below.position < mine:   # then no one below it can have more
+        if below.position < mine:  # then no one below it can have more
             position = below.position
             if below.told is not None and below.told.others_behind:
                 position = min(position, below.told.lowest)
--- a/oakfork/control/running.py
+++ b/oakfork/control/running.py
@@ -1,4 +1,5 @@
 """A publisher, a relay, or a follower by itself, as a process. Over trio."""
+
 import json
 import zlib
 from typing import Any, Callable, Sequence
@@ -18,17 +19,24 @@
 from oakfork.control.state import Records
 from oakfork.control.store import Database
 
-MOST_RELAYS = 64    # named in a status
+MOST_RELAYS = 64  # named in a status
 
 
 def with_more(told: bytes, feeder: Feeder, engine: Engine) -> bytes:
     """A status, and what only who drives the machine knows."""
     relays = [below for below in feeder.roster.links.values() if below.relay]
-    return json.dumps(json.loads(told) | {
-        "counts": dict(engine.counts), "links_here": engine.coming,
-        "relays": [{"who": below.who, "position": below.position, "reached": len(below.names) - 1}
-                   for below in relays[:MOST_RELAYS]],
-        "others_relays": max(0, len(relays) - MOST_RELAYS)}).encode()
+    return json.dumps(
+        json.loads(told)
+        | {
+            "counts": dict(engine.counts),
+            "links_here": engine.coming,
+            "relays": [
+                {"who": below.who, "position": below.position, "reached": len(below.names) - 1}
+                for below in relays[:MOST_RELAYS]
+            ],
+            "others_relays": max(0, len(relays) - MOST_RELAYS),
+        }
+    ).encode()
 
 
 class _Publisher(Publisher):
@@ -50,16 +58,33 @@
     disk: call it in a thread."""
     loaded, database.loaded = database.loaded, None
     index = schema.Index(loaded.records)
-    machine = _Publisher(file.who, database.begin_term(file.above_term), loaded.position, loaded.records, schema.parse,
-                         lambda store, rows: index.contradictions(rows), entries=loaded.entries, ids=loaded.ids,
-                         told=index.in_force, egress=file.egress, most=file.connections, others=file.others)
+    machine = _Publisher(
+        file.who,
+        database.begin_term(file.above_term),
+        loaded.position,
+        loaded.records,
+        schema.parse,
+        lambda store, rows: index.contradictions(rows),
+        entries=loaded.entries,
+        ids=loaded.ids,
+        told=index.in_force,
+        egress=file.egress,
+        most=file.connections,
+        others=file.others,
+    )
     machine.engine = Engine(machine, log, file.connections, database=database)
     return machine.engine
 
 
 def relay_engine(file: RelayFile, log: BoundLogger) -> Engine:
-    machine = _Relay(file.who, file.upstreams, Records(), seed=zlib.crc32(file.who.encode()), egress=file.egress,
-                     most=file.connections)
+    machine = _Relay(
+        file.who,
+        file.upstreams,
+        Records(),
+        seed=zlib.crc32(file.who.encode()),
+        egress=file.egress,
+        most=file.connections,
+    )
     machine.engine = Engine(machine, log, file.connections)
     return machine.engine
 
@@ -80,9 +105,11 @@
     await serve(relay_engine(file, log), listen(file.listen), log)
 
 
-async def follow(who: str, relays: Sequence[str], seed: int, log: BoundLogger,
-                 tell: Callable[[dict[str, Any]], None]) -> None:
+async def follow(
+    who: str, relays: Sequence[str], seed: int, log: BoundLogger, tell: Callable[[dict[str, Any]], None]
+) -> None:
     """Tells of each position that comes into force, and how many records changed."""
+
     def in_force(told: InForce) -> None:
         tell({"before": told.before, "position": told.position, "changes": len(told.changes)})
 
--- a/oakfork/control/schema.py
+++ b/oakfork/control/schema.py
@@ -1,6 +1,7 @@
 """The change file, JSON: checked by a schema and against the state, each fault by its path; docs/control.md has its
 keys. A change set is refused whole, or becomes rows.
 """
+
 import json
 import zlib
 from collections import Counter
@@ -12,16 +13,16 @@
 from oakfork.errors import ChangeError
 from oakfork.format import against
 
-LARGEST_CHANGE = 1 << 20    # bytes of the file
-LARGEST_SUBMITTED = LARGEST_FRAME - 1024    # of what is sent for it, by zlib
-MOST_CHANGES = 4096     # records put and dropped in one set
-MOST_FAULTS = 64        # told of one set
-LARGEST_VALUE = 4096    # bytes of a packed record
-DEEPEST = 16            # lists and tables in one another
-MOST_PARTS = 65_536     # values, lists and tables in all
-LONGEST_FAULT = 300     # characters
+LARGEST_CHANGE = 1 << 20  # bytes of the file
+LARGEST_SUBMITTED = LARGEST_FRAME - 1024  # of what is sent for it, by zlib
+MOST_CHANGES = 4096  # records put and dropped in one set
+MOST_FAULTS = 64  # told of one set
+LARGEST_VALUE = 4096  # bytes of a packed record
+DEEPEST = 16  # lists and tables in one another
+MOST_PARTS = 65_536  # values, lists and tables in all
+LONGEST_FAULT = 300  # characters
 NAMES = {Kind.SERVICE: "services", Kind.SERVER: "servers", Kind.ROUTE: "routes", Kind.TENANT: "tenants"}
-WHOLE = 1 << 53         # numbers of JSON are exact up to it
+WHOLE = 1 << 53  # numbers of JSON are exact up to it
 
 
 def _a(kind: str, text: str, **more: Any) -> dict[str, Any]:
@@ -45,51 +46,118 @@
 
 
 def _table(text: str, properties: dict[str, Any], *required: str) -> dict[str, Any]:
-    return {"type": "object", "additionalProperties": False, "description": text, "properties": properties,
-            "required": list(required)}
-
-
-METHOD = _table("a method", {
-    "name": _word("as X-Lane names it"), "aim_ms": _number("soft deadline"), "deadline_ms": _number("deadline"),
-    "effect": {"enum": [effect.name.lower() for effect in records.Effect], "default": "read_like",
-               "description": "idempotent, deduplicated, non-idempotent (both of the last)"},
-}, "name", "aim_ms", "deadline_ms")
-SERVICE = _table("a service", {"name": _name("its name"),
-                               "methods": _a("array", "its methods", items=METHOD, minItems=1, maxItems=64)},
-                 "name", "methods")
-SERVER = _table("a server", {
-    "id": _name("the same at every gateway"),
-    "addr": _a("string", "where it listens", maxLength=256, pattern=r"^[!-9;-~]+:[0-9]{1,5}(?!\n)$"),
-    "zone": _word("its zone"), "kind": _word("its kind of machine", 0), "cell": _whole("the group that drops a repeat"),
-    "state": {"enum": [state.name.lower() for state in records.State],
-              "description": "draining: nothing new goes to it"},
-    "weight": _number("its registered size"),
-    "started_ms": _whole("when it last started, as Unix time in milliseconds; 0: long ago"),
-    "service": _name("what it serves"),
-}, "id", "addr", "zone", "kind", "cell", "state", "weight", "started_ms", "service")
-ROUTE = _table("a route", {
-    "name": _name("its name"), "host": _word("of the RPC"), "prefix": _word("how its path begins", 0),
-    "method": _word("its method; empty: any", 0), "service": _name("where it goes"),
-}, "name", "host", "prefix", "method", "service")
-TENANT = _table("a tenant", {
-    "id": _name("the tenant's"), "plan": _word("its plan"), "rate": _number("units a second of its quota"),
-    "burst": _number("units at once"), "first": _whole("the first gateway that keeps its quota", high=65_535),
-    "spread": _whole("how many gateways keep it", low=1, high=65_535),
-}, "id", "plan", "rate", "burst", "first", "spread")
+    return {
+        "type": "object",
+        "additionalProperties": False,
+        "description": text,
+        "properties": properties,
+        "required": list(required),
+    }
+
+
+METHOD = _table(
+    "a method",
+    {
+        "name": _word("as X-Lane names it"),
+        "aim_ms": _number("soft deadline"),
+        "deadline_ms": _number("deadline"),
+        "effect": {
+            "enum": [effect.name.lower() for effect in records.Effect],
+            "default": "read_like",
+            "description": "idempotent, deduplicated, non-idempotent (both of the last)",
+        },
+    },
+    "name",
+    "aim_ms",
+    "deadline_ms",
+)
+SERVICE = _table(
+    "a service",
+    {"name": _name("its name"), "methods": _a("array", "its methods", items=METHOD, minItems=1, maxItems=64)},
+    "name",
+    "methods",
+)
+SERVER = _table(
+    "a server",
+    {
+        "id": _name("the same at every gateway"),
+        "addr": _a("string", "where it listens", maxLength=256, pattern=r"^[!-9;-~]+:[0-9]{1,5}(?!\n)$"),
+        "zone": _word("its zone"),
+        "kind": _word("its kind of machine", 0),
+        "cell": _whole("the group that drops a repeat"),
+        "state": {
+            "enum": [state.name.lower() for state in records.State],
+            "description": "draining: nothing new goes to it",
+        },
+        "weight": _number("its registered size"),
+        "started_ms": _whole("when it last started, as Unix time in milliseconds; 0: long ago"),
+        "service": _name("what it serves"),
+    },
+    "id",
+    "addr",
+    "zone",
+    "kind",
+    "cell",
+    "state",
+    "weight",
+    "started_ms",
+    "service",
+)
+ROUTE = _table(
+    "a route",
+    {
+        "name": _name("its name"),
+        "host": _word("of the RPC"),
+        "prefix": _word("how its path begins", 0),
+        "method": _word("its method; empty: any", 0),
+        "service": _name("where it goes"),
+    },
+    "name",
+    "host",
+    "prefix",
+    "method",
+    "service",
+)
+TENANT = _table(
+    "a tenant",
+    {
+        "id": _name("the tenant's"),
+        "plan": _word("its plan"),
+        "rate": _number("units a second of its quota"),
+        "burst": _number("units at once"),
+        "first": _whole("the first gateway that keeps its quota", high=65_535),
+        "spread": _whole("how many gateways keep it", low=1, high=65_535),
+    },
+    "id",
+    "plan",
+    "rate",
+    "burst",
+    "first",
+    "spread",
+)
 ITEMS = {Kind.SERVICE: SERVICE, Kind.SERVER: SERVER, Kind.ROUTE: ROUTE, Kind.TENANT: TENANT}
 
 
 def _all(text: str, items: Mapping[Kind, dict[str, Any]]) -> dict[str, Any]:
-    return _table(text, {NAMES[kind]: _a("array", f"the {NAMES[kind]}", items=items[kind], maxItems=MOST_CHANGES)
-                         for kind in Kind})
-
-
-SCHEMA = {"$schema": "https://json-schema.org/draft/2020-12/schema"} | _table("a change set", {
-    "id": _a("string", "names this change set, in the log as well; the same file again has no second effect",
-             pattern="^[!-~]{1,100}(?!\\n)$"),
-    "put": _all("records that are new, or take the place of those of the same name", ITEMS),
-    "drop": _all("names of records that go", {kind: _name("of one that is there") for kind in Kind}),
-}, "id")
+    return _table(
+        text,
+        {NAMES[kind]: _a("array", f"the {NAMES[kind]}", items=items[kind], maxItems=MOST_CHANGES) for kind in Kind},
+    )
+
+
+SCHEMA = {"$schema": "https://json-schema.org/draft/2020-12/schema"} | _table(
+    "a change set",
+    {
+        "id": _a(
+            "string",
+            "names this change set, in the log as well; the same file again has no second effect",
+            pattern="^[!-~]{1,100}(?!\\n)$",
+        ),
+        "put": _all("records that are new, or take the place of those of the same name", ITEMS),
+        "drop": _all("names of records that go", {kind: _name("of one that is there") for kind in Kind}),
+    },
+    "id",
+)
 
 
 def submitted(data: bytes) -> bytes:
@@ -184,7 +252,7 @@
 def _bounded(faults: list[str]) -> list[str]:
     """As many, and as long, as a Verdict holds, and such as can be written in UTF-8."""
     if len(faults) > MOST_FAULTS:
-        faults = [*faults[:MOST_FAULTS - 1], f"and {len(faults) - MOST_FAULTS + 1} more"]
+        faults = [*faults[: MOST_FAULTS - 1], f"and {len(faults) - MOST_FAULTS + 1} more"]
     return [fault[:LONGEST_FAULT].encode(errors="backslashreplace").decode() for fault in faults]
 
 
@@ -193,8 +261,11 @@
 
 
 def _methods(path: str, methods: Sequence[Mapping[str, Any]]) -> list[str]:
-    found = [f"{path}.methods[{number}].aim_ms: beyond the deadline" for number, method in enumerate(methods)
-             if method["aim_ms"] > method["deadline_ms"]]
+    found = [
+        f"{path}.methods[{number}].aim_ms: beyond the deadline"
+        for number, method in enumerate(methods)
+        if method["aim_ms"] > method["deadline_ms"]
+    ]
     names = Counter(method["name"] for method in methods)
     return found + [f"{path}.methods: {name!r} stands there twice" for name, times in names.items() if times > 1]
 
@@ -202,17 +273,33 @@
 def _record(kind: Kind, item: Mapping[str, Any]) -> records.Record:
     number = records.amount
     if kind is Kind.SERVICE:
-        return records.Service(tuple(
-            records.Method(method["name"], number(method["aim_ms"]), number(method["deadline_ms"]),
-                           records.Effect[method.get("effect", "read_like").upper()]) for method in item["methods"]))
+        return records.Service(
+            tuple(
+                records.Method(
+                    method["name"],
+                    number(method["aim_ms"]),
+                    number(method["deadline_ms"]),
+                    records.Effect[method.get("effect", "read_like").upper()],
+                )
+                for method in item["methods"]
+            )
+        )
     if kind is Kind.SERVER:
-        return records.Server(records.packed_address(item["addr"]), item["zone"], item["kind"], int(item["cell"]),
-                              records.State[item["state"].upper()], number(item["weight"]), int(item["started_ms"]),
-                              item["service"])
+        return records.Server(
+            records.packed_address(item["addr"]),
+            item["zone"],
+            item["kind"],
+            int(item["cell"]),
+            records.State[item["state"].upper()],
+            number(item["weight"]),
+            int(item["started_ms"]),
+            item["service"],
+        )
     if kind is Kind.ROUTE:
         return records.Route(item["host"], item["prefix"], item["service"], item["method"])
-    return records.Tenant(item["plan"], number(item["rate"]), number(item["burst"]), int(item["first"]),
-                          int(item["spread"]))
+    return records.Tenant(
+        item["plan"], number(item["rate"]), number(item["burst"]), int(item["first"]), int(item["spread"])
+    )
 
 
 class Index:
@@ -221,9 +308,9 @@
 
     def __init__(self, store: Records) -> None:
         self.store = store
-        self.known: dict[tuple[Kind, str], tuple[str, Any]] = {}    # a server's or route's service and place
-        self.users: Counter[str] = Counter()        # service -> servers and routes that name it
-        self.at: dict[tuple[Kind, Any], str] = {}   # place -> the server or route there
+        self.known: dict[tuple[Kind, str], tuple[str, Any]] = {}  # a server's or route's service and place
+        self.users: Counter[str] = Counter()  # service -> servers and routes that name it
+        self.at: dict[tuple[Kind, Any], str] = {}  # place -> the server or route there
         for kind in (Kind.SERVER, Kind.ROUTE):
             for name in store.all_names(kind):
                 self._put(kind, name, store.value(kind, name) or b"")
@@ -265,8 +352,11 @@
         """Servers and routes of a service that would not exist, and services dropped that some would still name."""
         found, users = [], Counter()
         put = {row.name for row in rows if row.kind is Kind.SERVICE and row.value is not None}
-        dropped = {row.name: path for row, path in zip(rows, paths, strict=True)
-                   if row.kind is Kind.SERVICE and row.value is None}
+        dropped = {
+            row.name: path
+            for row, path in zip(rows, paths, strict=True)
+            if row.kind is Kind.SERVICE and row.value is None
+        }
         for row, path in zip(rows, paths, strict=True):
             if row.kind not in (Kind.SERVER, Kind.ROUTE):
                 continue
@@ -278,8 +368,11 @@
             users[service] += 1
             if service not in put and (service in dropped or self.store.value(Kind.SERVICE, service) is None):
                 found.append(f"{path}.service: there would be no service {service!r}")
-        return found + [f"{path}: {left} servers and routes would still name {service!r}"
-                        for service, path in dropped.items() if (left := self.users[service] + users[service]) > 0]
+        return found + [
+            f"{path}: {left} servers and routes would still name {service!r}"
+            for service, path in dropped.items()
+            if (left := self.users[service] + users[service]) > 0
+        ]
 
     def _twice(self, rows: Sequence[Row], paths: Sequence[str]) -> list[str]:
         """Two servers at one address, two routes of one host, prefix and method."""
@@ -292,11 +385,14 @@
             place = _place(records.unpack(row.kind, row.value))
             other = self.at.get((row.kind, place))
             if other is not None and (row.kind, other) in changed:
-                other = None    # it goes, or is put anew by this change set and then looked at itself
+                other = None  # it goes, or is put anew by this change set and then looked at itself
             other = mine.setdefault((row.kind, place), row.name) if other is None else other
             if other != row.name:
-                found.append(f"{path}.addr: {other!r} is there" if row.kind is Kind.SERVER
-                             else f"{path}: {other!r} has that host, prefix and method")
+                found.append(
+                    f"{path}.addr: {other!r} is there"
+                    if row.kind is Kind.SERVER
+                    else f"{path}: {other!r} has that host, prefix and method"
+                )
         return found
 
 
--- a/oakfork/control/service.py
+++ b/oakfork/control/service.py
@@ -3,6 +3,7 @@
 The queue is bounded, and so is what one connection can have in it: its reader waits. Counts are by reasons of a fixed
 set; each is logged at every doubling.
 """
+
 import signal
 import time
 from collections import Counter
@@ -17,10 +18,10 @@
 from oakfork.control.store import Database
 from oakfork.errors import Break, DatabaseError, told
 
-QUEUE = 256             # events that wait
-SPARE = 64              # connections
-BUSY = 0.05             # seconds before the next accept where there are no descriptors
-AGAIN = 0.2             # seconds before a change set that could not be stored is tried once more
+QUEUE = 256  # events that wait
+SPARE = 64  # connections
+BUSY = 0.05  # seconds before the next accept where there are no descriptors
+AGAIN = 0.2  # seconds before a change set that could not be stored is tried once more
 NEVER = float("inf")
 
 
@@ -30,30 +31,35 @@
 
 
 class Machine(Protocol):
-    def handle(self, now: int, event: events.Event) -> list[events.Command]:
-        ...
+    def handle(self, now: int, event: events.Event) -> list[events.Command]: ...
 
 
 class Engine:
     """`in_force` is told of each InForce and must not wait; `database` stores what Keep says. `connections`: as the
     machine's own bound, beyond which it says goodbye; SPARE more are closed without a word."""
 
-    def __init__(self, machine: Machine, log: BoundLogger, connections: int = 0,
-                 in_force: Callable[[events.InForce], None] | None = None, database: Database | None = None) -> None:
+    def __init__(
+        self,
+        machine: Machine,
+        log: BoundLogger,
+        connections: int = 0,
+        in_force: Callable[[events.InForce], None] | None = None,
+        database: Database | None = None,
+    ) -> None:
         self.machine, self.log, self.connections = machine, log, connections
         self.in_force, self.database = in_force, database
-        self.links: dict[int, Link | None] = {}     # None: not up yet; emptied when a link ends
-        self.scopes: dict[int, trio.CancelScope] = {}   # of links that are being made
-        self.last = 0                       # link that came in
-        self.coming = 0                     # links that came in and have not ended
-        self.counts: Counter[str] = Counter()       # as many as reasons
-        self.wake = NEVER                   # as clock()
+        self.links: dict[int, Link | None] = {}  # None: not up yet; emptied when a link ends
+        self.scopes: dict[int, trio.CancelScope] = {}  # of links that are being made
+        self.last = 0  # link that came in
+        self.coming = 0  # links that came in and have not ended
+        self.counts: Counter[str] = Counter()  # as many as reasons
+        self.wake = NEVER  # as clock()
         self.more = False
         self.sender, self.receiver = trio.open_memory_channel[events.Event](QUEUE)
         self.nursery: trio.Nursery | None = None
-        self.open: set[Link] = set()        # those that are up, or closed and not yet over
-        self.stored = trio.Event()          # there may be change sets to fold
-        self.disk = trio.Lock()             # the database takes one call at a time
+        self.open: set[Link] = set()  # those that are up, or closed and not yet over
+        self.stored = trio.Event()  # there may be change sets to fold
+        self.disk = trio.Lock()  # the database takes one call at a time
 
     async def run(self, listener: trio.SocketListener | None = None) -> None:
         async with trio.open_nursery() as self.nursery:
@@ -110,7 +116,7 @@
             self.counts["the machine failed"] += 1
             self.log.exception("the machine failed", event_kind=type(event).__name__)
             if (link := self.links.get(getattr(event, "link", 0))) is not None:
-                link.close()    # it is told of the loss
+                link.close()  # it is told of the loss
 
     def _do(self, command: events.Command) -> None:
         match command:
@@ -150,7 +156,7 @@
             except Break as end:
                 self.note(f"not connected: {end.ending.name}", place)
         self.scopes.pop(number, None)
-        if number not in self.links:    # closed meanwhile
+        if number not in self.links:  # closed meanwhile
             if stream is not None:
                 await trio.aclose_forcefully(stream)
         elif stream is None:
@@ -164,7 +170,7 @@
             while True:
                 try:
                     stream = await listener.accept()
-                except OSError:     # no descriptor, or one that ended before it was taken
+                except OSError:  # no descriptor, or one that ended before it was taken
                     self.note("not accepted")
                     await trio.sleep(BUSY)
                     continue
@@ -196,7 +202,7 @@
         finally:
             self.open.discard(link)
         self.note(f"connection: {ending}")
-        if self.links.get(number) is link:      # not closed by the machine
+        if self.links.get(number) is link:  # not closed by the machine
             del self.links[number]
             await self.sender.send(events.Lost(number))
 
@@ -238,6 +244,7 @@
 
 async def serve(engine: Engine, listener: trio.SocketListener | None, log: BoundLogger) -> None:
     """Until SIGTERM or SIGINT. Needs the main thread."""
+
     async def heed() -> None:
         async for _ in signals:
             log.info("leaving")
--- a/oakfork/control/staging.py
+++ b/oakfork/control/staging.py
@@ -2,6 +2,7 @@
 
 All that costs more than a few records is a generator, to be taken a slice at a time.
 """
+
 from array import array
 from typing import Generator, Sequence
 
@@ -15,7 +16,7 @@
 # Rows staged at once, from frames that go on and on: two and a half times the 160,000 records of the full size.
 MOST_STAGED = 400_000
 
-Sliced = Generator[None, None, bool]    # in the end, whether all was well
+Sliced = Generator[None, None, bool]  # in the end, whether all was well
 
 
 class Staged:
@@ -25,11 +26,11 @@
     def __init__(self, store: Store) -> None:
         self.store, self.sums = store, array("Q", store.sums)
         self.changes: dict[Key, bytes | None] = {}
-        self.parts: dict[int, dict[Key, bytes]] = {}    # ranges that have come whole
-        self.part: dict[Key, bytes] = {}                # the one that is coming
-        self.coming: int | None = None                  # its number
-        self.sum = 0                                    # its digest so far
-        self.rows = 0                                   # that came, in all
+        self.parts: dict[int, dict[Key, bytes]] = {}  # ranges that have come whole
+        self.part: dict[Key, bytes] = {}  # the one that is coming
+        self.coming: int | None = None  # its number
+        self.sum = 0  # its digest so far
+        self.rows = 0  # that came, in all
 
     def take(self, rows: Sequence[Row]) -> Sliced:
         """Changes, upon the store and the ranges that have come."""
--- a/oakfork/control/state.py
+++ b/oakfork/control/state.py
@@ -4,6 +4,7 @@
 its records': so a change costs its own records, in any order, and two states of one digest are taken for equal (by
 chance once in 2**64; against malice the connections' authors are known, docs/control.md).
 """
+
 from array import array
 from hashlib import blake2b
 from typing import Collection, Iterable, Iterator, Mapping, Protocol
@@ -26,7 +27,8 @@
 
 class Store(Protocol):
     """What a follower keeps its state in. A gateway's has the records; a hollow one's may share them."""
-    sums: array     # of "Q", one a range
+
+    sums: array  # of "Q", one a range
 
     def value(self, kind: Kind, name: str) -> bytes | None:
         """What is in force; None where there is no such record."""
@@ -102,7 +104,7 @@
                 yield name
 
     def commit(self, changes: Mapping[tuple[Kind, str], bytes | None], sums: array) -> None:
-        self.fold()     # what is left of the one before
+        self.fold()  # what is left of the one before
         self.overlay, self.sums = changes, sums
         self.folding = iter(changes.items())
 
--- a/oakfork/control/store.py
+++ b/oakfork/control/store.py
@@ -5,6 +5,7 @@
 bounded number. Each entry and the snapshot carry the digest of their state, which opening checks: a damaged file is
 refused, not believed. A database is one publisher's at a time. Everything here waits for the disk: call it in a thread.
 """
+
 import sqlite3
 import threading
 from contextlib import contextmanager, suppress
@@ -17,14 +18,14 @@
 from oakfork.control.state import Records, as_changes, summed, whole
 from oakfork.errors import DatabaseError
 
-MARK = 0x6F616B66       # application_id: "oakf"
-EDITION = 1             # user_version
-MOST_LOG = 4096         # change sets, and
+MARK = 0x6F616B66  # application_id: "oakf"
+EDITION = 1  # user_version
+MOST_LOG = 4096  # change sets, and
 MOST_LOG_ROWS = 65_536  # rows in the log; beyond either the oldest ones are folded
-FOLDED_AT_ONCE = 64     # change sets a transaction
-MOST_IDS = 65_536       # of change sets, the oldest go
-PATIENCE = 1.0          # seconds for another publisher to end
-SIGN = 1 << 63          # digests are unsigned, sqlite's integers are not
+FOLDED_AT_ONCE = 64  # change sets a transaction
+MOST_IDS = 65_536  # of change sets, the oldest go
+PATIENCE = 1.0  # seconds for another publisher to end
+SIGN = 1 << 63  # digests are unsigned, sqlite's integers are not
 
 TABLES = """
 CREATE TABLE kept (key TEXT PRIMARY KEY, value INTEGER NOT NULL) WITHOUT ROWID;
@@ -41,6 +42,7 @@
 
 class Entry(NamedTuple):
     """A change set of the log: `before` is the position it followed on, `digest` that of the whole state with it."""
+
     before: Position
     position: Position
     id: str
@@ -50,6 +52,7 @@
 
 class Loaded(NamedTuple):
     """What a publisher begins with: its state, the log that led there, and the ids that are kept, the oldest first."""
+
     position: Position
     records: Records
     entries: list[Entry]
@@ -126,7 +129,8 @@
         store.commit(changes, summed(store, changes))
         self._agrees(store, self._kept("snapshot_digest"), position)
         for term, number, id, digest, rows in self.link.execute(
-                "SELECT term, number, id, digest, rows FROM log ORDER BY term, number"):
+            "SELECT term, number, id, digest, rows FROM log ORDER BY term, number"
+        ):
             entry = Entry(position, Position(term, number), id, digest % (2 * SIGN), _rows.decode(rows))
             changes = as_changes(entry.rows)
             store.commit(changes, summed(store, changes))
@@ -141,8 +145,10 @@
 
     def _agrees(self, store: Records, digest: int, position: Position) -> None:
         if _signed(whole(store.sums)) != digest:
-            raise DatabaseError(f"{self.path}: damaged: the records at {position.term}.{position.number} are not "
-                                "those that were stored")
+            raise DatabaseError(
+                f"{self.path}: damaged: the records at {position.term}.{position.number} are not "
+                "those that were stored"
+            )
 
     def begin_term(self, above: int = 0) -> int:
         """A term above all that this database, or `above`, knows of: durable when this returns."""
@@ -160,17 +166,20 @@
         """One change set, durable when this returns; again after an error, it is there once. `digest`: of the whole
         state with it."""
         with self._transaction():
-            if self.position_of(id) == position:    # an error came after the disk had it
+            if self.position_of(id) == position:  # an error came after the disk had it
                 self.position = position
                 return
             if position <= self.position:
                 raise DatabaseError(f"{self.path}: {position.term}.{position.number} does not follow on what is there")
-            self.link.execute("INSERT INTO log VALUES (?, ?, ?, ?, ?, ?)", (
-                *position, id, _signed(digest), len(rows), msgspec.msgpack.encode(tuple(rows))))
+            self.link.execute(
+                "INSERT INTO log VALUES (?, ?, ?, ?, ?, ?)",
+                (*position, id, _signed(digest), len(rows), msgspec.msgpack.encode(tuple(rows))),
+            )
             self.link.execute("INSERT OR REPLACE INTO ids VALUES (?, ?, ?)", (id, *position))
             self.link.execute(
                 "DELETE FROM ids WHERE id IN (SELECT id FROM ids ORDER BY term DESC, number DESC LIMIT 64 OFFSET ?)",
-                (self.most_ids,))
+                (self.most_ids,),
+            )
             self.link.executemany("UPDATE kept SET value = ? WHERE key = ?", zip(position, KEPT[4:], strict=True))
         self.position = position
 
@@ -194,17 +203,23 @@
         with self._transaction():
             if not (most := self._too_many()):
                 return False
-            oldest = self.link.execute("SELECT term, number, digest, rows FROM log ORDER BY term, number LIMIT ?",
-                                       (most,)).fetchall()
+            oldest = self.link.execute(
+                "SELECT term, number, digest, rows FROM log ORDER BY term, number LIMIT ?", (most,)
+            ).fetchall()
             for _, _, _, rows in oldest:
                 told = _rows.decode(rows)
-                self.link.executemany("DELETE FROM snapshot WHERE kind = ? AND name = ?",
-                                      [(row.kind, row.name) for row in told if row.value is None])
-                self.link.executemany("INSERT OR REPLACE INTO snapshot VALUES (?, ?, ?)",
-                                      [tuple(row) for row in told if row.value is not None])
+                self.link.executemany(
+                    "DELETE FROM snapshot WHERE kind = ? AND name = ?",
+                    [(row.kind, row.name) for row in told if row.value is None],
+                )
+                self.link.executemany(
+                    "INSERT OR REPLACE INTO snapshot VALUES (?, ?, ?)",
+                    [tuple(row) for row in told if row.value is not None],
+                )
             term, number, digest, _ = oldest[-1]
-            self.link.executemany("UPDATE kept SET value = ? WHERE key = ?",
-                                  zip((term, number, digest), KEPT[1:4], strict=True))
+            self.link.executemany(
+                "UPDATE kept SET value = ? WHERE key = ?", zip((term, number, digest), KEPT[1:4], strict=True)
+            )
             self.link.execute("DELETE FROM log WHERE (term, number) <= (?, ?)", (term, number))
             return self._too_many() > 0
 
--- a/oakfork/control/trial.py
+++ b/oakfork/control/trial.py
@@ -1,6 +1,7 @@
 """All of it on one machine: a publisher, two relays and three followers as processes on loopback, an example published,
 and the status shown. `oakfork control try`.
 """
+
 import json
 import subprocess
 import sys
@@ -15,19 +16,37 @@
 from oakfork.control import client, shown
 from oakfork.errors import PublisherSilent, RigError
 
-START, SPREAD, END = 15.0, 20.0, 5.0    # seconds to start one, to be in force everywhere, to end
+START, SPREAD, END = 15.0, 20.0, 5.0  # seconds to start one, to be in force everywhere, to end
 FOLLOWERS = 3
 EXAMPLE = {
     "id": "example-1",
     "put": {
-        "services": [{"name": "search", "methods": [
-            {"name": "read", "aim_ms": 100, "deadline_ms": 400},
-            {"name": "write", "aim_ms": 250, "deadline_ms": 1000, "effect": "idempotency_key"}]}],
-        "servers": [{"id": f"search-{number}", "addr": f"10.0.0.{number}:8080", "zone": "east", "kind": "large",
-                     "cell": number % 2, "state": "up", "weight": 1, "started_ms": 0, "service": "search"}
-                    for number in range(1, 5)],
-        "routes": [{"name": "search-all", "host": "example.org", "prefix": "/search/", "method": "",
-                    "service": "search"}],
+        "services": [
+            {
+                "name": "search",
+                "methods": [
+                    {"name": "read", "aim_ms": 100, "deadline_ms": 400},
+                    {"name": "write", "aim_ms": 250, "deadline_ms": 1000, "effect": "idempotency_key"},
+                ],
+            }
+        ],
+        "servers": [
+            {
+                "id": f"search-{number}",
+                "addr": f"10.0.0.{number}:8080",
+                "zone": "east",
+                "kind": "large",
+                "cell": number % 2,
+                "state": "up",
+                "weight": 1,
+                "started_ms": 0,
+                "service": "search",
+            }
+            for number in range(1, 5)
+        ],
+        "routes": [
+            {"name": "search-all", "host": "example.org", "prefix": "/search/", "method": "", "service": "search"}
+        ],
         "tenants": [{"id": "00000000b4d65521", "plan": "basic", "rate": 20, "burst": 40, "first": 0, "spread": 2}],
     },
 }
@@ -41,8 +60,12 @@
 
     def start(self, name: str, *words: str) -> None:
         with open(self.folder / f"{name}.log", "wb") as log:
-            self.all[name] = subprocess.Popen([sys.executable, "-m", "oakfork.control.command", *words],
-                                              stdin=subprocess.DEVNULL, stdout=log, stderr=subprocess.STDOUT)
+            self.all[name] = subprocess.Popen(
+                [sys.executable, "-m", "oakfork.control.command", *words],
+                stdin=subprocess.DEVNULL,
+                stdout=log,
+                stderr=subprocess.STDOUT,
+            )
 
     def listens(self, name: str) -> str:
         """Where it does, once its log says so; raises RigError."""
@@ -81,7 +104,8 @@
     folder = processes.folder
     common = 'name = "{}"\nregion = "here"\nlisten = "127.0.0.1:0"\n'
     (folder / "publisher.toml").write_text(
-        common.format("publisher") + f"database = {json.dumps(str(folder / 'control.sqlite'))}\n")
+        common.format("publisher") + f"database = {json.dumps(str(folder / 'control.sqlite'))}\n"
+    )
     processes.start("publisher", "publisher", str(folder / "publisher.toml"))
     places = [processes.listens("publisher")]
     for name in ("relay-1", "relay-2"):
@@ -97,6 +121,7 @@
 
 def everywhere(publisher: str, done: Callable[[dict[str, Any]], bool]) -> dict[str, Any]:
     """The status, as soon as it is as wanted; raises RigError."""
+
     async def ask() -> dict[str, Any]:
         told: dict[str, Any] = {}
         with trio.move_on_after(SPREAD):
@@ -104,6 +129,7 @@
                 await trio.sleep(0.1)
             return told
         raise RigError(f"not in force everywhere after {SPREAD:g} s: {json.dumps(told)[:2000]}")
+
     try:
         return trio.run(ask)
     except PublisherSilent as error:
--- a/oakfork/control/turns.py
+++ b/oakfork/control/turns.py
@@ -1,4 +1,5 @@
 """Of one who follows: whose turn it is to speak, and what it is in the middle of being sent. Pure."""
+
 from dataclasses import dataclass, field
 from enum import Enum
 
@@ -16,15 +17,15 @@
 
 @dataclass(slots=True)
 class Below:
-    since: int                      # in its turn
+    since: int  # in its turn
     turn: Turn = Turn.NAMELESS
     who: str = ""
     relay: bool = False
     position: Position = EMPTY
     digest: int = 0
-    delta: Changed | None = None    # half sent
-    sent: int = 0                   # of its frames
-    passed_over: Position | None = None     # it stood there, and got what changed since the one before
-    base: Position | None = None    # while it mends: of the Digests that it got
-    ranges: list[int] = field(default_factory=list)     # wanted and not begun, the next one last
-    frames: list[bytes] = field(default_factory=list)   # of the range that is half sent, the next one last
+    delta: Changed | None = None  # half sent
+    sent: int = 0  # of its frames
+    passed_over: Position | None = None  # it stood there, and got what changed since the one before
+    base: Position | None = None  # while it mends: of the Digests that it got
+    ranges: list[int] = field(default_factory=list)  # wanted and not begun, the next one last
+    frames: list[bytes] = field(default_factory=list)  # of the range that is half sent, the next one last
--- a/oakfork/door.py
+++ b/oakfork/door.py
@@ -1,4 +1,5 @@
 """Ids at the door: small indices for servers and RPCs, given out anew as RPCs end. No decision is taken here."""
+
 from typing import Generic, Hashable, TypeVar
 
 RpcId = TypeVar("RpcId", bound=Hashable)
@@ -7,20 +8,21 @@
 
 class Ticket(Generic[RpcId]):
     """An RPC at the door: its true id, and whether its index may be used again."""
+
     __slots__ = ("true_id", "out", "over")
 
     def __init__(self, true_id: RpcId) -> None:
         self.true_id = true_id
-        self.out = 0        # call-outs whose end has not been told
-        self.over = False   # it has its final answer
+        self.out = 0  # call-outs whose end has not been told
+        self.over = False  # it has its final answer
 
 
 class Door(Generic[RpcId, ServerId]):
     def __init__(self) -> None:
-        self.servers: dict[ServerId, int] = {}      # emptied by forget
+        self.servers: dict[ServerId, int] = {}  # emptied by forget
         self.server_ids: list[ServerId | None] = []
-        self.spare: list[int] = []                  # indices of forgotten servers
-        self.rpcs: dict[RpcId, int] = {}            # emptied as RPCs end
+        self.spare: list[int] = []  # indices of forgotten servers
+        self.rpcs: dict[RpcId, int] = {}  # emptied as RPCs end
         self.tickets: list[Ticket[RpcId] | None] = []
         self.free: list[int] = []
 
--- a/oakfork/early.py
+++ b/oakfork/early.py
@@ -1,10 +1,11 @@
 """Signals that come before the gateway can heed them, or when it no longer does. Imports little, so that it is in
 place before anything large is loaded: earlier than that, while Python itself starts, SIGHUP still ends the process."""
+
 import os
 import signal
 from types import FrameType
 
-hangups: list[int] = []     # SIGHUPs that came early; emptied by taken
+hangups: list[int] = []  # SIGHUPs that came early; emptied by taken
 
 
 def hold() -> None:
--- a/oakfork/errors.py
+++ b/oakfork/errors.py
@@ -2,30 +2,35 @@
 
 The log line (`told`), the command line and the table in docs/oncall.md take that text from here.
 """
+
 from typing import Any, ClassVar
 
-WRONG, MISTAKE = 1, 2       # exit codes: it went wrong while running; the user's mistake
+WRONG, MISTAKE = 1, 2  # exit codes: it went wrong while running; the user's mistake
 
 
 class OakforkError(Exception):
     """`todo`: what an operator can do, in one sentence. `status`: the exit code where it ends a command."""
+
     todo: ClassVar[str] = ""
     status: ClassVar[int] = WRONG
 
 
 class ConfigurationError(OakforkError):
     """A gateway's configuration is not usable."""
+
     todo = "correct what is named in the configuration; `oakfork check FILE` tries it before a start or a SIGHUP"
     status = MISTAKE
 
 
 class AddressTaken(OakforkError):
     """An address of the gateway's own can't be had."""
+
     todo = "end the program that has the address, or name another one in the configuration"
 
 
 class FileError(OakforkError):
     """A file is not usable; `faults` names each place in it and what is wrong there."""
+
     todo = "correct what is named in the file"
     status = MISTAKE
 
@@ -36,72 +41,86 @@
 
 class ExperimentError(FileError):
     """An experiment file is not usable; each line names a place in it and what is wrong there."""
+
     todo = "correct what is named in the experiment file; docs/lab.md has all its keys"
 
 
 class FleetError(FileError):
     """The fleet file is not usable, or does not fit the gateway's configuration."""
+
     todo = "correct what is named in the fleet file; `oakfork fleet check FILE` tries it, docs/fleet.md has the keys"
 
 
 class LoadError(OakforkError):
     """A load that is not sent."""
+
     todo = "name gateways by loopback addresses, HOST:PORT, and a load within the bounds of docs/lab.md"
     status = MISTAKE
 
 
 class BookError(FileError):
     """The book of contracts is not usable, or reserves more than the sites can do with the largest one lost."""
+
     todo = "correct the contracts that are named, or give the sites more; `oakfork contracts check FILE` tries the book"
 
 
 class ControlError(FileError):
     """The file of a publisher or relay is not usable."""
+
     todo = "correct what is named in the file; docs/control.md has the keys"
 
 
 class ChangeError(FileError):
     """A change set is refused whole: nothing of it is in force."""
+
     todo = "correct what is named in the change file, or publish what it needs first; docs/control.md has the keys"
 
 
 class DatabaseError(OakforkError):
     """The publisher's database is not its own, is damaged, or is another publisher's now; nothing in it was changed."""
+
     todo = "name the publisher's own database, end the other one that has it, or go back to a copy; docs/control.md"
 
 
 class PublisherSilent(OakforkError):
     """The publisher did not answer: whether a change set is in force is not known."""
+
     todo = "look whether the publisher runs and can be reached, and give the same file again: it counts once"
 
 
 class ScaleError(OakforkError, ValueError):
     """A measure of costs by size, or the page of them, can't be made of what there is."""
+
     todo = "measure again what it names, by `oakfork lab scale GROUP`; docs/CAPACITY.md has the markers of its tables"
 
 
 class RigError(OakforkError):
     """The processes of a drill did not start or did not end as they should."""
+
     todo = "look at the last lines of the process's log that it names; free ports and memory for that many processes"
 
 
 class WireError(OakforkError):
     """What came on the simulator's wire can't be read."""
+
     todo = "report the line: the simulator and the adapter do not agree on the wire"
 
 
 class CommandUnknown(OakforkError):
     """The module told the adapter something that has no record on the wire."""
+
     todo = "report the line: the module and the adapter are of two versions"
 
 
 class BadRequest(OakforkError):
     """A client's request is not one of the protocol; the text tells why. It is answered 400."""
+
     todo = "talk to the client: the answer's body says what is wrong with its request"
 
 
 class Break(OakforkError):
     """A connection can't be used any more; `ending` says how it ended."""
+
     todo = "look at the party at the other end of that connection: the ending's name says what it did"
 
     def __init__(self, ending: Any) -> None:
@@ -134,4 +153,5 @@
 
 if __name__ == "__main__":
     from oakfork import errors  # as the others import it
+
     print(errors.table())
--- a/oakfork/fleet/codec.py
+++ b/oakfork/fleet/codec.py
@@ -2,6 +2,7 @@
 
 Measured against `struct` on the messages of leases (experiments/fleet_codec.py): docs/fleet.md.
 """
+
 from typing import Any, Sequence
 
 import msgspec
@@ -10,8 +11,8 @@
 from oakfork.fleet.file import Edition
 from oakfork.leases.messages import Act, Acted, Ask, Clock, Free, Grant, Hello, Number, Refusal, Release, Small
 
-LARGEST = 1200      # bytes of a frame: under what any path carries whole
-MOST = 32           # messages in one
+LARGEST = 1200  # bytes of a frame: under what any path carries whole
+MOST = 32  # messages in one
 VERSION = 1
 
 Lease = Ask | Grant | Refusal | Release | Free | Hello | Clock | Act | Acted
--- a/oakfork/fleet/part.py
+++ b/oakfork/fleet/part.py
@@ -1,4 +1,5 @@
 """What a gateway runs for its fleet, put together. Imported only where LB_FLEET names a file."""
+
 import os
 from typing import TYPE_CHECKING, Any, Callable
 
@@ -15,15 +16,16 @@
 if TYPE_CHECKING:
     from oakfork.control.agent import Agent
 
-LOOK = 0.1          # seconds between looks for the first state of the control part
+LOOK = 0.1  # seconds between looks for the first state of the control part
 
 
 class Part:
     """`listed` takes servers in discovery's form, and must not wait. Raises FleetError or AddressTaken where it can't
     start."""
 
-    def __init__(self, path: str, here: Surroundings, log: BoundLogger,
-                 listed: Callable[[list[dict[str, Any]]], None]) -> None:
+    def __init__(
+        self, path: str, here: Surroundings, log: BoundLogger, listed: Callable[[list[dict[str, Any]]], None]
+    ) -> None:
         self.file = read(path)
         me = here.birth.index
         if me >= len(self.file.addresses):
@@ -35,15 +37,17 @@
         self.contracts = None
         if book:
             from oakfork.contracts.runner import Contracts
+
             self.contracts = Contracts(book, self.file, me, self.post, self.leases, log)
         self.listed = listed
         self.known = [str(row["id"]) for row in rows(here.known) if isinstance(row, dict) and "id" in row]
-        self.agent = self._agent(here, log)     # what follows the control part; None where the file has none
+        self.agent = self._agent(here, log)  # what follows the control part; None where the file has none
 
     def _agent(self, here: Surroundings, log: BoundLogger) -> "Agent | None":
         if not self.file.control:
             return None
         from oakfork.control.agent import Agent
+
         return Agent(here.name, self.file.control.relays, here.birth.seed, log, self.listed, self.file.control.service)
 
     async def run(self) -> None:
@@ -62,11 +66,12 @@
         """Once the first state is there, what the configuration knew and the state doesn't is gone."""
         from oakfork.control.agent import SLICE
         from oakfork.control.messages import EMPTY, Kind
+
         while self.agent.position == EMPTY:
             await trio.sleep(LOOK)
         names, self.known = self.known, []
         for at in range(0, len(names), SLICE):
-            gone = [name for name in names[at:at + SLICE] if self.agent.record(Kind.SERVER, name) is None]
+            gone = [name for name in names[at : at + SLICE] if self.agent.record(Kind.SERVER, name) is None]
             if gone:
                 self.listed([{"id": name, "state": "removed"} for name in gone])
             await trio.lowlevel.checkpoint()
@@ -78,5 +83,5 @@
             self.contracts.reread()
 
     async def leave(self) -> None:
-        await self.leases.leave()   # the control part is followed to the end: servers may drain until then
+        await self.leases.leave()  # the control part is followed to the end: servers may drain until then
         self.log.info("left the fleet", **{reason.replace(" ", "_"): n for reason, n in self.post.counts.items()})
--- a/oakfork/fleet/post.py
+++ b/oakfork/fleet/post.py
@@ -1,4 +1,5 @@
 """Datagrams between the gateways of a fleet: sent at once or not at all, taken from known addresses alone."""
+
 import socket
 import time
 from collections import Counter
@@ -10,8 +11,8 @@
 from oakfork.fleet.file import FleetFile
 from oakfork.sockets.heads import bound
 
-OUTSIDER = 0xFFFF    # what is no gateway of the fleet, such as a stand-in that is acted upon
-Handler = Callable[[int, Any], None]    # the sender's number, the message
+OUTSIDER = 0xFFFF  # what is no gateway of the fleet, such as a stand-in that is acted upon
+Handler = Callable[[int, Any], None]  # the sender's number, the message
 
 
 def clock() -> int:
@@ -26,19 +27,19 @@
         self.file, self.me = file, me
         self.numbers = {place: number for number, place in enumerate(file.addresses)}
         self.handlers: dict[type, Handler] = {}
-        self.counts: Counter[str] = Counter()       # as many as reasons
+        self.counts: Counter[str] = Counter()  # as many as reasons
         self.sock = bound(socket.SOCK_DGRAM, file.listen or file.addresses[me])
 
     async def run(self) -> None:
         try:
             while True:
                 await trio.lowlevel.wait_readable(self.sock)
-                for _ in range(64):     # then others have their turn
+                for _ in range(64):  # then others have their turn
                     try:
                         data, place = self.sock.recvfrom(codec.LARGEST + 1)
                     except BlockingIOError:
                         break
-                    except OSError:     # an earlier datagram of ours found nobody there
+                    except OSError:  # an earlier datagram of ours found nobody there
                         continue
                     self.take(data, place)
                 await trio.lowlevel.checkpoint()
@@ -64,7 +65,7 @@
                     handler(sender, message)
 
     def send(self, to: int, *messages: Any) -> None:
-        if to == self.me:       # by the same way in, without the network
+        if to == self.me:  # by the same way in, without the network
             for message in messages:
                 handler = self.handlers.get(type(message))
                 if handler:
@@ -76,5 +77,5 @@
         self.counts["frames out"] += 1
         try:
             self.sock.sendto(codec.pack(self.me, self.file.edition, messages), place)
-        except OSError:     # no room, or nobody there: lost, as any datagram may be
+        except OSError:  # no room, or nobody there: lost, as any datagram may be
             self.counts["not sent"] += 1
--- a/oakfork/interface.py
+++ b/oakfork/interface.py
@@ -3,6 +3,7 @@
 Times are whole tenths of a millisecond on the gateway's own clock. RPCs and servers are small indices given
 out at the door; an RPC's index is used again once it is answered and all its call-outs have ended.
 """
+
 from dataclasses import dataclass
 from enum import IntEnum
 from typing import NamedTuple
@@ -12,6 +13,7 @@
 
 class Repeat(IntEnum):
     """Whether a method may run again."""
+
     IDEMPOTENT = 0
     DEDUPLICATED = 1
     NON_IDEMPOTENT = 2
@@ -19,6 +21,7 @@
 
 class Status(IntEnum):
     """How a call-out ended."""
+
     OK = 0
     MOOT = 249
     CANCELLED = 250
@@ -43,8 +46,8 @@
     soft_deadline: int
     deadline: int
     repeat: Repeat
-    group: str          # "all", "zone" or "cell": the servers that drop a repeat
-    remembered: int     # for how long they drop it
+    group: str  # "all", "zone" or "cell": the servers that drop a repeat
+    remembered: int  # for how long they drop it
     utility: float
     late_utility: float
     streamed: bool
@@ -52,9 +55,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    rate: float         # units a second; 0: no such quota
+    rate: float  # units a second; 0: no such quota
     burst: float
-    concurrency: int    # call-outs out at once; 0: no such quota
+    concurrency: int  # call-outs out at once; 0: no such quota
     ceiling_rate: float  # units a second; 0: no ceiling
     ceiling_burst: float
     ceiling_slack: float
@@ -66,6 +69,7 @@
 @dataclass(frozen=True, slots=True)
 class Birth:
     """All that a gateway is told when it starts."""
+
     seed: int
     index: int
     gateways: int
@@ -81,7 +85,7 @@
     retry_after: bool
     probing: bool
     max_call_outs: int
-    asks_list: bool     # changes of the server list come only after a subscription
+    asks_list: bool  # changes of the server list come only after a subscription
     list_patience: int
     report_names: tuple[str, ...]
     report_how: str
@@ -90,20 +94,21 @@
     cold_time: int
     fall_multiple: float
     fall_time: int
-    probe_price: float = 0.0    # of one probe for each RPC, as a part of all utility
-    connection_price: float = 0.0   # of one new connection for each RPC, likewise
-    idle_time: int = 0      # connections to servers last for so long unused; 0: not known
+    probe_price: float = 0.0  # of one probe for each RPC, as a part of all utility
+    connection_price: float = 0.0  # of one new connection for each RPC, likewise
+    idle_time: int = 0  # connections to servers last for so long unused; 0: not known
 
 
 # Events
 
+
 class ServerEntry(NamedTuple):
     server: int
-    true_id: int        # the same at every gateway
+    true_id: int  # the same at every gateway
     zone: int
     cell: int
     state: State
-    up_since: int       # 0: long ago
+    up_since: int  # 0: long ago
     weight: float
 
 
@@ -115,7 +120,7 @@
 
 class Arrival(NamedTuple):
     rpc: int
-    customer: int       # the true id
+    customer: int  # the true id
     method: int
     plan: int
     units: float
@@ -123,7 +128,7 @@
     spread: int
     time_left: int
     repeated: bool
-    reserved: bool = False      # inside capacity that a contract reserves
+    reserved: bool = False  # inside capacity that a contract reserves
 
 
 class StreamStarted(NamedTuple):
@@ -168,17 +173,27 @@
     name: int
 
 
-Event = (ServerList | Arrival | StreamStarted | CallOutEnded | ClientGone | TimeCame | ProbeEnded | PeerFrame
-         | CounterAnswered)
+Event = (
+    ServerList
+    | Arrival
+    | StreamStarted
+    | CallOutEnded
+    | ClientGone
+    | TimeCame
+    | ProbeEnded
+    | PeerFrame
+    | CounterAnswered
+)
 
 
 # Commands
 
+
 class Send(NamedTuple):
     rpc: int
     server: int
-    until: int          # on the clock; 0: until the client gives up
-    written_by: int = 0     # on the clock: if its last byte is not written then, it is never sent; 0: any time
+    until: int  # on the clock; 0: until the client gives up
+    written_by: int = 0  # on the clock: if its last byte is not written then, it is never sent; 0: any time
 
 
 class PushBack(NamedTuple):
@@ -197,6 +212,7 @@
 
 class Recall(NamedTuple):
     """Has a call-out never begin if its first byte is not written yet; it ends as moot. One that has begun goes on."""
+
     rpc: int
     call_out: int
 
@@ -225,24 +241,41 @@
 
 class CloseIdle(NamedTuple):
     """Closes the idle connections to a server."""
+
     server: int
 
 
 class Forget(NamedTuple):
     """The server is gone and nothing is known of it any more: its index may be used for another."""
+
     server: int
 
 
 class Count(NamedTuple):
     """Adds to a number that the counter service keeps."""
+
     name: int
     amount: float
-    kept_for: int       # if the name is new
+    kept_for: int  # if the name is new
 
 
 class Note(NamedTuple):
     text: str
 
 
-Command = (Send | PushBack | Abort | Cancel | Recall | Wake | Probe | Tell | Subscribe | ReadList | CloseIdle
-           | Forget | Count | Note)
+Command = (
+    Send
+    | PushBack
+    | Abort
+    | Cancel
+    | Recall
+    | Wake
+    | Probe
+    | Tell
+    | Subscribe
+    | ReadList
+    | CloseIdle
+    | Forget
+    | Count
+    | Note
+)
--- a/oakfork/lab/checker.py
+++ b/oakfork/lab/checker.py
@@ -3,32 +3,34 @@
 The world tells it what really happened: what clients sent and got, what reached servers and ran there, what
 discovery wrote to whom. A broken rule is kept as one line with its time; nothing is stopped.
 """
+
 from collections import deque
 from dataclasses import dataclass, field
 
 from oakfork.interface import SECOND, Repeat
 from oakfork.lab.plan import MethodPlan, PlanOfCustomers, WorldPlan
 
-MOST_LINES = 50     # told of each rule; all are counted
+MOST_LINES = 50  # told of each rule; all are counted
 
 
 @dataclass(slots=True)
 class Watched:
     """One RPC that a gateway has taken."""
+
     method: MethodPlan
     customer: int
     plan: PlanOfCustomers
     gateway: int
     taken: int
     dl: int
-    final: int = -1         # when it got its answer
+    final: int = -1  # when it got its answer
     answer: str = ""
     call_outs: int = 0
     ended: int = 0
-    ran: list[tuple[int, int]] = field(default_factory=list)     # (group, when the first call-out was sent)
-    drawn: bool = False     # its first call-out reached a server: its units were taken
-    beyond: bool = False    # beyond the quota
-    lost: bool = False      # its gateway was killed: the client's to retry
+    ran: list[tuple[int, int]] = field(default_factory=list)  # (group, when the first call-out was sent)
+    drawn: bool = False  # its first call-out reached a server: its units were taken
+    beyond: bool = False  # beyond the quota
+    lost: bool = False  # its gateway was killed: the client's to retry
 
 
 class Checker:
@@ -37,9 +39,9 @@
     def __init__(self, world: WorldPlan) -> None:
         self.world = world
         self.rpcs: dict[int, Watched] = {}
-        self.ceilings: dict[int, tuple[float, int]] = {}    # customer -> tokens, when; as many as customers
-        self.told: dict[tuple[int, int], int] = {}          # (gateway, server) -> since when it is told not to send
-        self.cold: dict[int, deque[tuple[int, float]]] = {}     # server -> work sent; emptied when it stops
+        self.ceilings: dict[int, tuple[float, int]] = {}  # customer -> tokens, when; as many as customers
+        self.told: dict[tuple[int, int], int] = {}  # (gateway, server) -> since when it is told not to send
+        self.cold: dict[int, deque[tuple[int, float]]] = {}  # server -> work sent; emptied when it stops
         self.broken: dict[str, int] = {}
         self.lines: list[str] = []
         self.taken = self.answered = self.silent = self.killed = 0
@@ -66,8 +68,12 @@
         if now > watched.dl + self.world.answer_grace:
             late = (now - watched.dl) / 10
             self.breaks("answers", now, f"RPC {rpc} was answered {late:.1f} ms after its deadline")
-        if answer == "pushed back" and watched.ran and watched.method.repeat != Repeat.IDEMPOTENT and (
-                watched.method.repeat == Repeat.NON_IDEMPOTENT or watched.method.group != "all"):
+        if (
+            answer == "pushed back"
+            and watched.ran
+            and watched.method.repeat != Repeat.IDEMPOTENT
+            and (watched.method.repeat == Repeat.NON_IDEMPOTENT or watched.method.group != "all")
+        ):
             self.breaks("effects", now, f"RPC {rpc} was pushed back though it ran: a retry runs it again")
         self._forget(rpc, watched)
 
