--- a/oakfork/lab/clock.py
+++ b/oakfork/lab/clock.py
@@ -3,6 +3,7 @@
 Times are whole tenths of a millisecond. Events at the same instant come by their kind, in the order of Kind, and
 within a kind in the order in which they were planned. So a run depends on its seeds alone.
 """
+
 import heapq
 from enum import IntEnum
 from typing import Any, Callable
@@ -10,13 +11,14 @@
 
 class Kind(IntEnum):
     """What comes first at the same instant: the world changes, then it is told, then it acts."""
-    FAULT = 0       # something breaks or comes back
-    NEWS = 1        # a list of servers, a frame between gateways
-    SERVER = 2      # work begins, ends or arrives at a server
-    ENDING = 3      # a call-out, probe or counter's call ends at a gateway
-    TIMER = 4       # a gateway's timer
-    CLIENT = 5      # a client asks, gives up or comes again
-    LOOK = 6        # what is measured
+
+    FAULT = 0  # something breaks or comes back
+    NEWS = 1  # a list of servers, a frame between gateways
+    SERVER = 2  # work begins, ends or arrives at a server
+    ENDING = 3  # a call-out, probe or counter's call ends at a gateway
+    TIMER = 4  # a gateway's timer
+    CLIENT = 5  # a client asks, gives up or comes again
+    LOOK = 6  # what is measured
 
 
 class Loop:
--- a/oakfork/lab/compare.py
+++ b/oakfork/lab/compare.py
@@ -1,4 +1,5 @@
 """Compares policies by runs of the same seeds: differences with confidence intervals, from a library."""
+
 import math
 from typing import Any, NamedTuple
 
@@ -10,6 +11,7 @@
 
 class Difference(NamedTuple):
     """Of a figure, between two policies at one point of the sweep; paired by seed."""
+
     point: tuple[tuple[str, Any], ...]
     figure: str
     base: float
@@ -65,8 +67,9 @@
     return groups
 
 
-def compare(results: list[dict[str, Any]], base: str, other: str,
-            others: list[dict[str, Any]] | None = None) -> list[Difference]:
+def compare(
+    results: list[dict[str, Any]], base: str, other: str, others: list[dict[str, Any]] | None = None
+) -> list[Difference]:
     """`others`: results of another sweep of the same seeds, such as of other code, to take `other` from."""
     found = []
     second = grouped(others) if others is not None else grouped(results)
@@ -77,9 +80,18 @@
             continue
         for figure in one[seeds[0]]:
             mean, low, high = interval([two[seed][figure] - one[seed][figure] for seed in seeds])
-            found.append(Difference(point, figure, float(numpy.mean([one[seed][figure] for seed in seeds])),
-                                    float(numpy.mean([two[seed][figure] for seed in seeds])), mean, low, high,
-                                    len(seeds)))
+            found.append(
+                Difference(
+                    point,
+                    figure,
+                    float(numpy.mean([one[seed][figure] for seed in seeds])),
+                    float(numpy.mean([two[seed][figure] for seed in seeds])),
+                    mean,
+                    low,
+                    high,
+                    len(seeds),
+                )
+            )
     return found
 
 
--- a/oakfork/lab/contractdrill.py
+++ b/oakfork/lab/contractdrill.py
@@ -1,5 +1,6 @@
 """Contracts on real processes: a tenant asks for what is reserved, all others for three times what the sites can
 do, and things go wrong meanwhile. Measured from the clients' side alone: what the tenant got in each second."""
+
 import tempfile
 from collections import Counter
 from dataclasses import dataclass
@@ -14,11 +15,11 @@
 from oakfork.lab.rig import Rig
 from oakfork.lab.schedule import Trouble
 
-RESERVED, CAPACITY, PRESS = 30.0, 90.0, 3.0     # legs a second; all others ask for PRESS times the capacity
-GREED = 1.5                                     # the tenant asks for more than is reserved, or nothing shows a lack
-NOTICE = 1.0                                    # seconds until clients leave a gateway that is down
-SERVERS = 6                                     # each can do a fifth more than its share of the capacity
-FIRST_ID = 1 << 20                              # customers of all others begin there
+RESERVED, CAPACITY, PRESS = 30.0, 90.0, 3.0  # legs a second; all others ask for PRESS times the capacity
+GREED = 1.5  # the tenant asks for more than is reserved, or nothing shows a lack
+NOTICE = 1.0  # seconds until clients leave a gateway that is down
+SERVERS = 6  # each can do a fifth more than its share of the capacity
+FIRST_ID = 1 << 20  # customers of all others begin there
 KINDS = ("calm", "allotter killed", "allotter stopped", "a gateway cut off", "a third of the servers gone")
 POLICIES = ("contracts", "even parts", "no contracts")
 
@@ -31,7 +32,7 @@
         self.first, self.start = first, trio.current_time()
         self.asked: Counter[int] = Counter()
         self.ok: Counter[int] = Counter()
-        self.down: set[tuple[str, int]] = set()     # gateways that the clients' front has noticed to be down
+        self.down: set[tuple[str, int]] = set()  # gateways that the clients' front has noticed to be down
 
     async def _rpc(self, target: tuple[str, int], customer: int, rpc: int, meant: float) -> None:
         second = int(meant - self.start)
@@ -51,17 +52,19 @@
     kind: str
     policy: str
     seed: int
-    fault_at: int               # the second in which it began; -1: none
-    tenant_asked: list[int]     # by second
+    fault_at: int  # the second in which it began; -1: none
+    tenant_asked: list[int]  # by second
     tenant_ok: list[int]
     others_ok: list[int]
 
     def shares(self) -> list[float]:
         """What the tenant got in each second of what it asked for inside what is reserved, without the first
         seconds and the first one after the fault."""
-        return [min(1.0, ok / min(asked, RESERVED)) for second, (asked, ok) in
-                enumerate(zip(self.tenant_asked, self.tenant_ok, strict=True))
-                if second >= 2 and asked and second not in (self.fault_at, self.fault_at + 1)]
+        return [
+            min(1.0, ok / min(asked, RESERVED))
+            for second, (asked, ok) in enumerate(zip(self.tenant_asked, self.tenant_ok, strict=True))
+            if second >= 2 and asked and second not in (self.fault_at, self.fault_at + 1)
+        ]
 
     def kept(self, part: float = 0.99) -> float:
         shares = self.shares()
@@ -69,28 +72,48 @@
 
 
 def book(index: int) -> dict[str, Any]:
-    return {"site": [{"name": "here", "legs_per_s": CAPACITY, "home": True}, {"name": "there", "legs_per_s": CAPACITY}],
-            "contract": [{"tenant": "tenant", "customers": [f"{0:016x}"], "legs_per_s": RESERVED, "burst": 24,
-                          "open": 60, "goes": 0,
-                          "window": [{"from": "2020-01-01T00:00:00Z", "until": "2099-01-01T00:00:00Z"}]}]}
-
-
-def contract_drill(kind: str, policy: str = "contracts", seed: int = 1, gateways: int = 3, seconds: int = 14,
-                   uneven: int = 4) -> ContractDrill:
+    return {
+        "site": [{"name": "here", "legs_per_s": CAPACITY, "home": True}, {"name": "there", "legs_per_s": CAPACITY}],
+        "contract": [
+            {
+                "tenant": "tenant",
+                "customers": [f"{0:016x}"],
+                "legs_per_s": RESERVED,
+                "burst": 24,
+                "open": 60,
+                "goes": 0,
+                "window": [{"from": "2020-01-01T00:00:00Z", "until": "2099-01-01T00:00:00Z"}],
+            }
+        ],
+    }
+
+
+def contract_drill(
+    kind: str, policy: str = "contracts", seed: int = 1, gateways: int = 3, seconds: int = 14, uneven: int = 4
+) -> ContractDrill:
     """One drill. The tenant's legs come `uneven` times as often through the first gateway as through each other."""
     fault_at = -1 if kind == "calm" else 5
 
     def fleet(index: int, addresses: list[str], witness: str) -> dict[str, Any]:
-        return {"revision": 1, "addresses": addresses,
-                "leases": {"voters": [0, 1, 2], "length_ms": 1000, "act_ms": 200, "drift_permille": 10}}
+        return {
+            "revision": 1,
+            "addresses": addresses,
+            "leases": {"voters": [0, 1, 2], "length_ms": 1000, "act_ms": 200, "drift_permille": 10},
+        }
 
     async def play(rig: Rig, discovery: DiscoveryStandIn, servers: list[ServerStandIn]) -> ContractDrill:
         if policy == "even parts":
             for pair in rig.relays.ways:
                 rig.relays.ways[pair].cut = True
-        await trio.sleep(6.0)       # leases, loans, and what begins empty is full
-        told = {"customers": 1, "connections": 400, "method": "GET", "lane": "read", "tier": "free",
-                "deadline_ms": 1500}
+        await trio.sleep(6.0)  # leases, loans, and what begins empty is full
+        told = {
+            "customers": 1,
+            "connections": 400,
+            "method": "GET",
+            "lane": "read",
+            "tier": "free",
+            "deadline_ms": 1500,
+        }
         targets = tuple(rig.listens)
         tenant = Press(Load((targets[0],) * uneven + targets[1:], RESERVED * GREED, seconds, seed=seed, **told), 0)
         told["customers"] = 500
@@ -101,8 +124,15 @@
             if kind != "calm":
                 await trio.sleep(fault_at + 0.5)
                 await fault(rig, discovery, servers, nursery, (tenant, others))
-        return ContractDrill(kind, policy, seed, fault_at, [tenant.asked[s] for s in range(seconds)],
-                             [tenant.ok[s] for s in range(seconds)], [others.ok[s] for s in range(seconds)])
+        return ContractDrill(
+            kind,
+            policy,
+            seed,
+            fault_at,
+            [tenant.asked[s] for s in range(seconds)],
+            [tenant.ok[s] for s in range(seconds)],
+            [others.ok[s] for s in range(seconds)],
+        )
 
     def allotter(rig: Rig) -> int:
         """Who said last that it holds that lease."""
@@ -122,8 +152,13 @@
         for client in clients:
             client.down.clear()
 
-    async def fault(rig: Rig, discovery: DiscoveryStandIn, servers: list[ServerStandIn], nursery: trio.Nursery,
-                    clients: tuple[Press, ...]) -> None:
+    async def fault(
+        rig: Rig,
+        discovery: DiscoveryStandIn,
+        servers: list[ServerStandIn],
+        nursery: trio.Nursery,
+        clients: tuple[Press, ...],
+    ) -> None:
         if kind in ("allotter killed", "allotter stopped"):
             whom = allotter(rig)
             nursery.start_soon(noticed, rig, whom, clients)
@@ -132,11 +167,15 @@
         elif kind == "a gateway cut off":
             nursery.start_soon(rig.strike, Trouble(0.0, "cut", 1, -1, 5.0, 0.0), 1)
         else:
-            for server in servers[:len(servers) // 3]:
+            for server in servers[: len(servers) // 3]:
                 server.gone = True
-            await trio.sleep(1.0)       # told late
-            discovery.change([row | {"state": "removed"} if n < len(servers) // 3 else row
-                              for n, row in enumerate(discovery.servers)])
+            await trio.sleep(1.0)  # told late
+            discovery.change(
+                [
+                    row | {"state": "removed"} if n < len(servers) // 3 else row
+                    for n, row in enumerate(discovery.servers)
+                ]
+            )
 
     async def all_of_it(folder: Path) -> ContractDrill:
         mean = SERVERS * 3 / (CAPACITY * 1.2)
@@ -147,8 +186,10 @@
             told = plain_configuration(index, listen, gateways)
             told["settings"]["discovery"] = "automatic"
             told["limits"]["sockets"] = 1024
-            return told | {"discovery": discovery.address,
-                           "known": {"version": 1, "full": True, "servers": discovery.servers}}
+            return told | {
+                "discovery": discovery.address,
+                "known": {"version": 1, "full": True, "servers": discovery.servers},
+            }
 
         extra = {} if policy == "no contracts" else {"contracts": book}
         rig = Rig(folder, gateways, seed, configure, fleet, extra)
--- a/oakfork/lab/contractmodel.py
+++ b/oakfork/lab/contractmodel.py
@@ -3,6 +3,7 @@
 
 The allotter's lease is taken as given but for a time without one after it is killed (measured in docs/leases.md).
 """
+
 import sys
 from dataclasses import dataclass
 from typing import Any
@@ -18,7 +19,7 @@
 LENGTHS = Lengths(2 * SECOND, 10, 0, 2 * SECOND)
 DEAL, KEPT, DELAY = SECOND // 2, 4, 50
 WAYS = ("even parts", "dealt parts", "an owner asked")
-WAIT = SECOND // 20     # for the owner's answer; then the even part decides, as slices do for quotas
+WAIT = SECOND // 20  # for the owner's answer; then the even part decides, as slices do for quotas
 
 
 @dataclass(frozen=True, slots=True)
@@ -27,12 +28,12 @@
     gateways: int
     loss: float
     seed: int
-    got: float              # legs that went, over what was reserved in the same time
-    seconds_kept: float     # share of the seconds with 99% of what is reserved
-    over: float             # the most that went in any second beyond rate and burst, over the rate
-    frames: float           # a second, the whole fleet
-    waited: float           # ms a leg, for an answer
-    state_bytes: int        # of all gateways' parts
+    got: float  # legs that went, over what was reserved in the same time
+    seconds_kept: float  # share of the seconds with 99% of what is reserved
+    over: float  # the most that went in any second beyond rate and burst, over the rate
+    frames: float  # a second, the whole fleet
+    waited: float  # ms a leg, for an answer
+    state_bytes: int  # of all gateways' parts
 
 
 class Model:
@@ -150,11 +151,20 @@
             self.renew()
         self.loop.after(seconds * SECOND // 2, Kind.FAULT, self._shift)
         self.loop.run(begun + seconds * SECOND)
-        first = begun + 5 * SECOND      # what began empty is full, and demand is known
-        by_second = numpy.bincount([(at - first) // SECOND for at in self.went if at >= first],
-                                   minlength=seconds - 5)[:seconds - 5]
+        first = begun + 5 * SECOND  # what began empty is full, and demand is known
+        by_second = numpy.bincount([(at - first) // SECOND for at in self.went if at >= first], minlength=seconds - 5)[
+            : seconds - 5
+        ]
         size = sum(sys.getsizeof(part) + 64 * (len(part.given) + len(part.taken)) for part in self.parts)
-        return Result(self.way, self.gateways, self.loss, self.seed, float(by_second.mean() / self.rate),
-                      float((by_second >= 0.99 * self.rate).mean()),
-                      max(0.0, float(by_second.max() - 1.5 * self.rate) / self.rate), self.frames / seconds,
-                      self.waited / 10 / max(1, self.legs), size)
+        return Result(
+            self.way,
+            self.gateways,
+            self.loss,
+            self.seed,
+            float(by_second.mean() / self.rate),
+            float((by_second >= 0.99 * self.rate).mean()),
+            max(0.0, float(by_second.max() - 1.5 * self.rate) / self.rate),
+            self.frames / seconds,
+            self.waited / 10 / max(1, self.legs),
+            size,
+        )
--- a/oakfork/lab/crowd.py
+++ b/oakfork/lab/crowd.py
@@ -1,4 +1,5 @@
 """Customers and their clients: who asks, through which gateway, and what they do when it goes wrong."""
+
 from bisect import bisect
 from dataclasses import dataclass, field
 from itertools import accumulate
@@ -12,7 +13,7 @@
 from oakfork.lab.stage import Exchange, Stage
 from oakfork.lab.tier import Gateway
 
-SHIFT = 10 * SECOND     # the gateways that a customer comes through most change so often
+SHIFT = 10 * SECOND  # the gateways that a customer comes through most change so often
 
 
 @dataclass(slots=True)
@@ -22,17 +23,18 @@
     plan_index: int
     first: int
     spread: int
-    rate: float                 # RPCs a tenth of a millisecond
+    rate: float  # RPCs a tenth of a millisecond
     weights: list[float] = field(default_factory=list)
-    tokens: float = 0.0         # what is truly left of its quota: by what was sent on
+    tokens: float = 0.0  # what is truly left of its quota: by what was sent on
     updated: int = 0
-    asked: float = 0.0          # what would be left had each first try that was inside been sent on at once
+    asked: float = 0.0  # what would be left had each first try that was inside been sent on at once
     asked_at: int = 0
 
 
 @dataclass(slots=True)
 class Wish:
     """What a client wants, over all its tries."""
+
     customer: Customer
     method: MethodPlan
     method_index: int
@@ -44,6 +46,7 @@
 
 class Town(Stage, Protocol):
     """The world as its customers see it."""
+
     gateways: list[Gateway]
     down_since: dict[int, int]
     press: float
@@ -57,7 +60,7 @@
         self.world, plan = world, world.plan
         self.dice = world.chance("clients")
         self.next_rpc = 0
-        self.closed = False     # no client asks any more
+        self.closed = False  # no client asks any more
         self.shares = list(accumulate(method.share for method in plan.methods))
         self.customers: list[Customer] = []
         for index, group in enumerate(plan.plans):
@@ -65,9 +68,20 @@
                 greed = group.greed if self.dice.random() < group.greedy else 1.0
                 rate = (group.rate or 1.0) * group.demand * greed * world.press / SECOND
                 spread = min(plan.gateways, group.gateways)
-                self.customers.append(Customer(int(self.dice.integers(1, 1 << 33)), group, index,
-                                               int(self.dice.integers(plan.gateways)), spread, rate, [], group.burst,
-                                               0, group.burst))
+                self.customers.append(
+                    Customer(
+                        int(self.dice.integers(1, 1 << 33)),
+                        group,
+                        index,
+                        int(self.dice.integers(plan.gateways)),
+                        spread,
+                        rate,
+                        [],
+                        group.burst,
+                        0,
+                        group.burst,
+                    )
+                )
 
     def start(self) -> None:
         for customer in self.customers:
@@ -146,18 +160,28 @@
         if not gateway.up or gateway.life != life:
             self._again(wish, 0)
             return
-        if now >= until:        # its client gave up while it was on its way: nothing is owed
+        if now >= until:  # its client gave up while it was on its way: nothing is owed
             world.tally.add("given up on the way", now)
             self._again(wish, 0)
             return
         self.next_rpc += 1
         rpc, customer = self.next_rpc, wish.customer
         watched = Watched(wish.method, customer.number, customer.plan, gateway.number, now, until)
-        exchange = Exchange(rpc, watched, wish.units,
-                            lambda answer, advice: self._answered(wish, exchange, answer, advice))
+        exchange = Exchange(
+            rpc, watched, wish.units, lambda answer, advice: self._answered(wish, exchange, answer, advice)
+        )
         world.checker.took(rpc, watched)
-        arrival = face.Arrival(0, customer.number, wish.method_index, customer.plan_index, wish.units, customer.first,
-                               customer.spread, until - now, wish.tries > 1)
+        arrival = face.Arrival(
+            0,
+            customer.number,
+            wish.method_index,
+            customer.plan_index,
+            wish.units,
+            customer.first,
+            customer.spread,
+            until - now,
+            wish.tries > 1,
+        )
         world.loop.at(until + world.plan.links.client, Kind.CLIENT, self._given_up, wish, exchange, gateway, life)
         world.loop.at(until + world.plan.answer_grace + 1, Kind.LOOK, world.checker.overdue, rpc, until)
         gateway.arrive(exchange, arrival)
@@ -189,8 +213,11 @@
             if not beyond:
                 world.tally.add("utility", now, value if in_time else value * wish.method.late_utility)
         elif answer == "pushed back":
-            if customer.plan.rate and not exchange.watched.call_outs \
-                    and self.refill(customer, now) >= max(1.0, customer.plan.burst / 2):
+            if (
+                customer.plan.rate
+                and not exchange.watched.call_outs
+                and self.refill(customer, now) >= max(1.0, customer.plan.burst / 2)
+            ):
                 world.tally.add("pushed back with room", now)
             self._again(wish, advice)
 
--- a/oakfork/lab/drills.py
+++ b/oakfork/lab/drills.py
@@ -1,4 +1,5 @@
 """Drills on real processes: what is played, what is judged, what is measured. Each is replayable from its seed."""
+
 import tempfile
 from dataclasses import dataclass, field
 from functools import partial
@@ -17,42 +18,70 @@
 def plain_configuration(index: int, listen: str, gateways: int) -> dict[str, Any]:
     """A gateway that stands before nothing: for drills of what gateways do among themselves."""
     method = {"name": "read", "aim-ms": 1000.0, "deadline-ms": 2000.0, "effect": "read_like", "value": 1.0}
-    return {"name": f"n{index}", "listen": listen, "discovery": "127.0.0.1:9", "seed": f"{index + 1:x}",
-            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 256},
-            "known": {"version": 1, "full": True, "servers": []},
-            "settings": {"balancers": gateways, "index": index, "zones": ["z"], "zone": 0, "tick-ms": 4.0,
-                         "discovery": "subscribe", "classes": [method],
-                         "invariants": {"ask-within-ms": 60_000},
-                         "tiers-of-service": [{"name": "free", "refill": 0.0, "peak-units": 0.0}],
-                         "limits": {"attempts-cap": 2, "cancel": True, "peers": False, "retry-after": True}}}
+    return {
+        "name": f"n{index}",
+        "listen": listen,
+        "discovery": "127.0.0.1:9",
+        "seed": f"{index + 1:x}",
+        "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 256},
+        "known": {"version": 1, "full": True, "servers": []},
+        "settings": {
+            "balancers": gateways,
+            "index": index,
+            "zones": ["z"],
+            "zone": 0,
+            "tick-ms": 4.0,
+            "discovery": "subscribe",
+            "classes": [method],
+            "invariants": {"ask-within-ms": 60_000},
+            "tiers-of-service": [{"name": "free", "refill": 0.0, "peak-units": 0.0}],
+            "limits": {"attempts-cap": 2, "cancel": True, "peers": False, "retry-after": True},
+        },
+    }
 
 
 @dataclass(slots=True)
 class LeaseDrill:
     """What came of one drill. Times are seconds."""
+
     seed: int
     faults: list[str]
     acts: int
     terms: int
     refused: dict[str, int]
-    done: list[str]             # the troubles as they were played
-    without: list[tuple[str, float]] = field(default_factory=list)      # kind of trouble at the holder -> no act for
-    frames: float = 0.0         # between gateways and the witness, a second
+    done: list[str]  # the troubles as they were played
+    without: list[tuple[str, float]] = field(default_factory=list)  # kind of trouble at the holder -> no act for
+    frames: float = 0.0  # between gateways and the witness, a second
 
 
-def lease_drill(seed: int, gateways: int = 3, voters: int = 3, length_ms: int = 400, seconds: float = 5.0,
-                troubles: list[Trouble] | None = None, keep: Path | None = None) -> LeaseDrill:
+def lease_drill(
+    seed: int,
+    gateways: int = 3,
+    voters: int = 3,
+    length_ms: int = 400,
+    seconds: float = 5.0,
+    troubles: list[Trouble] | None = None,
+    keep: Path | None = None,
+) -> LeaseDrill:
     """Plays one schedule; the record goes to `keep`. Raises RigError where the processes don't start."""
     scale = length_ms / 1000
     drawn = troubles if troubles is not None else schedule.draw(seed, gateways, seconds, scale, range(voters))
 
     def fleet(index: int, addresses: list[str], witness: str) -> dict[str, Any]:
-        return {"revision": 1, "addresses": addresses, "drill": {"target": witness, "every_ms": 10},
-                "leases": {"voters": list(range(voters)), "length_ms": length_ms, "act_ms": max(10, length_ms // 8),
-                           "drift_permille": 10}}
+        return {
+            "revision": 1,
+            "addresses": addresses,
+            "drill": {"target": witness, "every_ms": 10},
+            "leases": {
+                "voters": list(range(voters)),
+                "length_ms": length_ms,
+                "act_ms": max(10, length_ms // 8),
+                "drift_permille": 10,
+            },
+        }
 
     async def play(rig: Rig) -> LeaseDrill:
-        with trio.move_on_after(20 * scale + 10):       # the first lease: voters abstain at first
+        with trio.move_on_after(20 * scale + 10):  # the first lease: voters abstain at first
             while rig.witness.holder() is None:
                 await trio.sleep(0.01)
         begun, carried = clock(), rig.relays.carried
@@ -61,10 +90,17 @@
                 nursery.start_soon(rig.play, drawn)
                 await trio.sleep(seconds)
         took = (clock() - begun) / 10_000
-        await trio.sleep(4 * scale)     # what is late has come
+        await trio.sleep(4 * scale)  # what is late has come
         acts = rig.witness.acts
-        result = LeaseDrill(seed, faults(acts), len(acts), len({act.term for act in acts}), dict(rig.witness.refused),
-                            rig.log, frames=(rig.relays.carried - carried) / took)
+        result = LeaseDrill(
+            seed,
+            faults(acts),
+            len(acts),
+            len({act.term for act in acts}),
+            dict(rig.witness.refused),
+            rig.log,
+            frames=(rig.relays.carried - carried) / took,
+        )
         for line in rig.log:
             at, kind, whom, *_ = line.split(" ")
             moment = begun + round(float(at) * 10_000)
@@ -79,7 +115,17 @@
         result = trio.run(rig.run, play)
     if keep is not None:
         keep.mkdir(parents=True, exist_ok=True)
-        schedule.write(keep / f"leases-{seed}.json", drawn, seed=seed, gateways=gateways, voters=voters,
-                       length_ms=length_ms, seconds=seconds, played=result.done, faults=result.faults, acts=result.acts,
-                       refused=result.refused)
+        schedule.write(
+            keep / f"leases-{seed}.json",
+            drawn,
+            seed=seed,
+            gateways=gateways,
+            voters=voters,
+            length_ms=length_ms,
+            seconds=seconds,
+            played=result.done,
+            faults=result.faults,
+            acts=result.acts,
+            refused=result.refused,
+        )
     return result
--- a/oakfork/lab/fleet.py
+++ b/oakfork/lab/fleet.py
@@ -1,4 +1,5 @@
 """Servers of the model: cores, a queue, a cold start, and what can be wrong with them."""
+
 from collections import deque
 from dataclasses import dataclass, field
 from typing import Callable
@@ -11,6 +12,7 @@
 @dataclass(slots=True)
 class Job:
     """One call-out at a server. `began` is told when it runs, `done` how it ended."""
+
     work: float
     began: Callable[[], None]
     done: Callable[[Status], None]
@@ -20,22 +22,23 @@
 @dataclass(slots=True)
 class Server:
     """One process on a machine; a start anew is another `Server` under the same number."""
+
     number: int
     zone: int
     cell: int
-    since: int              # 0: long ago
+    since: int  # 0: long ago
     plan: ServerPlan
     loop: Loop
     up: bool = True
-    silent: bool = False    # takes work and answers nothing
-    cut: bool = False       # its machine can't be reached; connections stay open
+    silent: bool = False  # takes work and answers nothing
+    cut: bool = False  # its machine can't be reached; connections stay open
     slow: float = 1.0
     fails: float = 0.0
     draining: bool = False
     free: int = 0
     connections: int = 0
-    busy: float = 0.0       # core time spent
-    waiting: deque[Job] = field(default_factory=deque)      # bounded by the plan
+    busy: float = 0.0  # core time spent
+    waiting: deque[Job] = field(default_factory=deque)  # bounded by the plan
 
     def __post_init__(self) -> None:
         self.free = self.plan.cores
--- a/oakfork/lab/leasemodel.py
+++ b/oakfork/lab/leasemodel.py
@@ -1,6 +1,7 @@
 """Leases in simulated time, for sizes and lengths of time that processes don't reach: the same machines, links
 that lose and delay, voters that restart, holders that are killed. Times are whole tenths of a millisecond. Messages go
 as frames (oakfork/fleet/codec.py), so that bytes and processor time are those of real ones, less the system's calls."""
+
 import sys
 import time
 from contextlib import contextmanager
@@ -28,15 +29,15 @@
     voters: int
     loss: float
     seed: int
-    frames: float           # between gateways, a second, over the whole fleet
+    frames: float  # between gateways, a second, over the whole fleet
     frames_of_a_watcher: float
-    held: float             # share of the time in which one holds
-    overlaps: int           # instants at which two did
-    waits: tuple[float, ...]    # seconds from the death of a holder to the next
-    state_bytes: int        # of the machines of the whole fleet
-    sent_bytes: float       # a second, with headers, of the voter that sends most
-    received_bytes: float   # of the one that gets most
-    processor: float        # seconds a second, of the busiest voter: frames read and written, and its machines
+    held: float  # share of the time in which one holds
+    overlaps: int  # instants at which two did
+    waits: tuple[float, ...]  # seconds from the death of a holder to the next
+    state_bytes: int  # of the machines of the whole fleet
+    sent_bytes: float  # a second, with headers, of the voter that sends most
+    received_bytes: float  # of the one that gets most
+    processor: float  # seconds a second, of the busiest voter: frames read and written, and its machines
 
 
 class Fleet:
@@ -44,9 +45,9 @@
         self.gateways, self.loss, self.delay, self.seed = gateways, loss, delay, seed
         self.loop, self.dice = Loop(), numpy.random.default_rng(seed)
         self.loop.now = 100 * SECOND
-        self.rates = self.dice.integers(990, 1011, voters)      # per mille: each clock's own
+        self.rates = self.dice.integers(990, 1011, voters)  # per mille: each clock's own
         self.voters, self.lives, self.frames, self.sent = voters, 0, 0, [0] * gateways
-        self.out, self.came, self.spent = [0] * gateways, [0] * gateways, [0] * gateways    # bytes, bytes, nanoseconds
+        self.out, self.came, self.spent = [0] * gateways, [0] * gateways, [0] * gateways  # bytes, bytes, nanoseconds
         self.votes = [voter.Vote(0, 0) for _ in range(voters)]
         self.ones = [self.fresh(me) for me in range(voters)]
         self.up = [True] * voters
@@ -164,8 +165,19 @@
         self.loop.run(self.loop.now + seconds * SECOND)
         size = sum(sys.getsizeof(one) + sys.getsizeof(one.grants) + sys.getsizeof(one.voters) for one in self.ones)
         size += sum(map(sys.getsizeof, self.votes))
-        watchers = self.sent[self.voters:]
-        return Result(self.gateways, self.voters, self.loss, self.seed, self.frames / seconds,
-                      sum(watchers) / len(watchers) / seconds if watchers else 0.0, self.held / self.looks,
-                      self.overlaps, tuple(self.waits), size, max(self.out) / seconds, max(self.came) / seconds,
-                      max(self.spent) / 1e9 / seconds)
+        watchers = self.sent[self.voters :]
+        return Result(
+            self.gateways,
+            self.voters,
+            self.loss,
+            self.seed,
+            self.frames / seconds,
+            sum(watchers) / len(watchers) / seconds if watchers else 0.0,
+            self.held / self.looks,
+            self.overlaps,
+            tuple(self.waits),
+            size,
+            max(self.out) / seconds,
+            max(self.came) / seconds,
+            max(self.spent) / 1e9 / seconds,
+        )
--- a/oakfork/lab/load.py
+++ b/oakfork/lab/load.py
@@ -1,5 +1,6 @@
 """Open-loop load on real gateways over loopback. Latency counts from when an RPC was meant to be sent, so that a
 gateway that stalls is not spared the RPCs that would have come meanwhile (no coordinated omission)."""
+
 import ipaddress
 from collections import Counter, deque
 from dataclasses import dataclass, field
@@ -14,9 +15,9 @@
 from oakfork.sockets.heads import Link, connect
 
 MOST_RPCS = 1_000_000
-BEHIND = 0.010      # seconds: later than that, the generator itself was late
+BEHIND = 0.010  # seconds: later than that, the generator itself was late
 LONGEST = 600 * 10_000
-CONNECT = 1.0       # seconds for a connection to come up
+CONNECT = 1.0  # seconds for a connection to come up
 
 
 @dataclass(frozen=True, slots=True)
@@ -36,23 +37,25 @@
 @dataclass(slots=True)
 class Report:
     asked: int
-    answers: dict[str, int]             # by status; "none": no answer in time
-    latency_ms: dict[str, float]        # of 200s, from the time meant
-    service_ms: dict[str, float]        # of 200s, from the time sent
-    behind: int                         # sent late by the generator's own fault
+    answers: dict[str, int]  # by status; "none": no answer in time
+    latency_ms: dict[str, float]  # of 200s, from the time meant
+    service_ms: dict[str, float]  # of 200s, from the time sent
+    behind: int  # sent late by the generator's own fault
     worst_behind_ms: float
-    waited: int                         # for one of the connections, which were all busy
+    waited: int  # for one of the connections, which were all busy
     connections: int
     seconds: float
     bodies_wrong: int = 0
     notes: list[str] = field(default_factory=list)
 
     def text(self) -> str:
-        lines = [f"{self.asked} RPCs in {self.seconds:.1f} s: " + ", ".join(f"{status}: {n}"
-                                                                          for status, n in self.answers.items()),
-                 "latency from the time meant, ms: " + _words(self.latency_ms),
-                 "latency from the time sent, ms: " + _words(self.service_ms),
-                 f"{self.connections} connections, {self.waited} RPCs waited for one"]
+        lines = [
+            f"{self.asked} RPCs in {self.seconds:.1f} s: "
+            + ", ".join(f"{status}: {n}" for status, n in self.answers.items()),
+            "latency from the time meant, ms: " + _words(self.latency_ms),
+            "latency from the time sent, ms: " + _words(self.service_ms),
+            f"{self.connections} connections, {self.waited} RPCs waited for one",
+        ]
         return "\n".join(lines + self.notes)
 
 
@@ -141,9 +144,15 @@
         load, sent = self.load, trio.current_time()
         left = max(0, int(load.deadline_ms - (sent - meant) * 1000))
         total = len(set(self.targets))
-        headers = [("Host", "%s:%d" % target), ("X-Txn", f"{rpc:016x}"), ("X-Lane", load.lane), ("X-Tier", load.tier),
-                   ("X-Remaining-Ms", str(left)), ("X-Call-Terms", f"units=1,spread={total},first=0"),
-                   ("Idempotency-Key", f"{rpc:032x}")]
+        headers = [
+            ("Host", "%s:%d" % target),
+            ("X-Txn", f"{rpc:016x}"),
+            ("X-Lane", load.lane),
+            ("X-Tier", load.tier),
+            ("X-Remaining-Ms", str(left)),
+            ("X-Call-Terms", f"units=1,spread={total},first=0"),
+            ("Idempotency-Key", f"{rpc:032x}"),
+        ]
         if load.method != "GET":
             headers.append(("Content-Length", "0"))
         await link.write(h11.Request(method=load.method, target=f"/api?client={customer:016x}", headers=headers))
@@ -165,13 +174,25 @@
 
         notes = []
         if self.behind:
-            notes.append(f"the generator itself was over {BEHIND * 1000:.0f} ms late for {self.behind} RPCs, at worst "
-                         f"{self.worst * 1000:.0f} ms: lower the rate, or give it more CPU")
+            notes.append(
+                f"the generator itself was over {BEHIND * 1000:.0f} ms late for {self.behind} RPCs, at worst "
+                f"{self.worst * 1000:.0f} ms: lower the rate, or give it more CPU"
+            )
         if self.wrong:
             notes.append(f"{self.wrong} answers did not name their RPC")
-        return Report(sent, dict(sorted(self.answers.items())), quantiles(self.latency), quantiles(self.service),
-                      self.behind, round(self.worst * 1000, 2), self.waited, self.opened, round(took, 2), self.wrong,
-                      notes)
+        return Report(
+            sent,
+            dict(sorted(self.answers.items())),
+            quantiles(self.latency),
+            quantiles(self.service),
+            self.behind,
+            round(self.worst * 1000, 2),
+            self.waited,
+            self.opened,
+            round(took, 2),
+            self.wrong,
+            notes,
+        )
 
 
 def run(load: Load) -> Report:
--- a/oakfork/lab/loopback.py
+++ b/oakfork/lab/loopback.py
@@ -1,4 +1,5 @@
 """Stand-ins for what a real gateway stands before, and a small tier of real gateways, all on loopback."""
+
 import json
 import os
 import re
@@ -31,7 +32,7 @@
         self.sock.setblocking(False)
         self.address = "127.0.0.1:%d" % self.sock.getsockname()[1]
         self.open = 0
-        self.gone = False       # its machine vanished: connections stay silent, new ones are refused
+        self.gone = False  # its machine vanished: connections stay silent, new ones are refused
 
     async def run(self) -> None:
         async with trio.open_nursery() as nursery:
@@ -72,6 +73,7 @@
 @dataclass
 class Work:
     """What a stand-in server does with RPCs, in seconds."""
+
     mean: float = 0.02
     cores: int = 3
     waiting: int = 30
@@ -85,7 +87,7 @@
         super().__init__()
         self.work, self.dice = work, numpy.random.default_rng(work.seed)
         self.cores = trio.CapacityLimiter(work.cores)
-        self.ran: dict[bytes, int] = {}     # as many as RPCs of a bounded run
+        self.ran: dict[bytes, int] = {}  # as many as RPCs of a bounded run
         self.probes = 0
 
     async def answer(self, message: Message) -> tuple[int, bytes, list[tuple[str, str]]]:
@@ -128,8 +130,16 @@
 
 
 def entry(number: int, address: str) -> dict[str, Any]:
-    return {"id": f"s-{number:08x}", "addr": address, "zone": "z", "kind": "k", "cell": number % 4, "state": "up",
-            "weight": 1.0, "started_ms": 0}
+    return {
+        "id": f"s-{number:08x}",
+        "addr": address,
+        "zone": "z",
+        "kind": "k",
+        "cell": number % 4,
+        "state": "up",
+        "weight": 1.0,
+        "started_ms": 0,
+    }
 
 
 def free_address(kind: socket.SocketKind) -> str:
@@ -141,6 +151,7 @@
 @dataclass
 class SocketTier:
     """Real gateways as processes, told of stand-ins."""
+
     folder: Path
     gateways: int
     discovery: str
@@ -154,16 +165,25 @@
         peers = [free_address(socket.SOCK_DGRAM) for _ in range(self.gateways)]
         with ExitStack() as stack:
             for number in range(self.gateways):
-                told = {"name": f"n{number}", "listen": self.listens[number], "discovery": self.discovery,
-                        "seed": f"{number + 1:x}", "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-                        "peers": peers, "peer_listen": peers[number],
-                        "known": {"version": 1, "full": True, "servers": self.servers},
-                        "settings": self.settings | {"balancers": self.gateways, "index": number}}
+                told = {
+                    "name": f"n{number}",
+                    "listen": self.listens[number],
+                    "discovery": self.discovery,
+                    "seed": f"{number + 1:x}",
+                    "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
+                    "peers": peers,
+                    "peer_listen": peers[number],
+                    "known": {"version": 1, "full": True, "servers": self.servers},
+                    "settings": self.settings | {"balancers": self.gateways, "index": number},
+                }
                 path = self.folder / f"n{number}.json"
                 path.write_text(json.dumps(told))
                 environment = {key: value for key, value in os.environ.items() if not key.startswith("LB_")}
-                process = subprocess.Popen([sys.executable, "-m", "oakfork"], stderr=subprocess.DEVNULL,
-                                           env=environment | {"LB_CONFIG": str(path)})
+                process = subprocess.Popen(
+                    [sys.executable, "-m", "oakfork"],
+                    stderr=subprocess.DEVNULL,
+                    env=environment | {"LB_CONFIG": str(path)},
+                )
                 stack.callback(process.wait)
                 stack.callback(process.kill)
             yield self
--- a/oakfork/lab/plan.py
+++ b/oakfork/lab/plan.py
@@ -1,4 +1,5 @@
 """What a world is made of, as an experiment file describes it: types only. Times are tenths of a millisecond."""
+
 from dataclasses import dataclass, field
 
 from oakfork.interface import Repeat
@@ -8,8 +9,8 @@
 class MethodPlan:
     name: str
     share: float
-    work: float         # mean, of one core
-    spread: str         # how work is distributed: exponential, fixed or lognormal
+    work: float  # mean, of one core
+    spread: str  # how work is distributed: exponential, fixed or lognormal
     soft_deadline: int
     deadline: int
     repeat: Repeat
@@ -23,15 +24,15 @@
 class PlanOfCustomers:
     name: str
     customers: int
-    rate: float         # units a second inside the quota; 0: no quota
+    rate: float  # units a second inside the quota; 0: no quota
     burst: float
     ceiling_rate: float
     ceiling_burst: float
     ceiling_slack: float
-    demand: float       # what a customer asks for, as a part of its rate (of one a second without a quota)
-    greedy: float       # the share of customers that ask for `greed` times as much
+    demand: float  # what a customer asks for, as a part of its rate (of one a second without a quota)
+    greedy: float  # the share of customers that ask for `greed` times as much
     greed: float
-    gateways: int       # that a customer's RPCs come through
+    gateways: int  # that a customer's RPCs come through
     price: float
     beyond_cost: float
 
@@ -40,8 +41,8 @@
 class ServerPlan:
     count: int
     cores: int
-    waiting: int        # what waits beyond the cores; more is turned away
-    connections: int    # that it holds in all
+    waiting: int  # what waits beyond the cores; more is turned away
+    connections: int  # that it holds in all
     cold_share: float
     cold_time: int
     fall_multiple: float
@@ -54,31 +55,31 @@
     retries: int
     wait: int
     heeds_advice: bool  # waits for the retry-after where that is longer
-    uneven: float       # 0: a customer's RPCs come evenly through its gateways; 1: strongly uneven
+    uneven: float  # 0: a customer's RPCs come evenly through its gateways; 1: strongly uneven
 
 
 @dataclass(frozen=True, slots=True)
 class LinkPlan:
-    client: int         # one way
+    client: int  # one way
     server: int
-    peer: int           # mean; exponential above half of it
-    zone: int           # beside those, between zones
+    peer: int  # mean; exponential above half of it
+    zone: int  # beside those, between zones
     peer_loss: float
     mail_per_s: float
-    handshake: int      # a new connection takes so long
-    idle: int           # and lasts for so long unused
+    handshake: int  # a new connection takes so long
+    idle: int  # and lasts for so long unused
     connect_patience: int
 
 
 @dataclass(frozen=True, slots=True)
 class DiscoveryPlan:
-    late: int           # mean; each gateway is told at its own time
-    notice: int         # after which clients no longer come to a gateway that is down
+    late: int  # mean; each gateway is told at its own time
+    notice: int  # after which clients no longer come to a gateway that is down
 
 
 @dataclass(frozen=True, slots=True)
 class CounterPlan:
-    takes: int          # for a call, one way and back
+    takes: int  # for a call, one way and back
     patience: int
 
 
@@ -97,7 +98,7 @@
     seconds: int
     gateways: int
     zones: int
-    load: float                 # of the servers' capacity by what is asked for inside the quotas; 0: as demand says
+    load: float  # of the servers' capacity by what is asked for inside the quotas; 0: as demand says
     drain_grace: int
     answer_grace: int
     probing: bool
--- a/oakfork/lab/plots.py
+++ b/oakfork/lab/plots.py
@@ -1,4 +1,5 @@
 """Plots of a finished sweep, by a library, into files."""
+
 from pathlib import Path
 from typing import Any
 
@@ -10,8 +11,16 @@
 
 from oakfork.lab.compare import grouped, interval  # noqa: E402
 
-OVER_SWEEP = ("utility share", "goodput share", "beyond quota per try", "pushed back with room per try", "p99 ms",
-              "to first call-out p50 ms", "probes per try", "frames per try")
+OVER_SWEEP = (
+    "utility share",
+    "goodput share",
+    "beyond quota per try",
+    "pushed back with room per try",
+    "p99 ms",
+    "to first call-out p50 ms",
+    "probes per try",
+    "frames per try",
+)
 
 
 def over_sweep(results: list[dict[str, Any]], folder: Path) -> list[Path]:
--- a/oakfork/lab/policies.py
+++ b/oakfork/lab/policies.py
@@ -3,6 +3,7 @@
 A baseline is a way to choose a server and a way to count quotas; both are replaceable parts. Pure, as the module is:
 no I/O, clock or global state.
 """
+
 import heapq
 import random
 from dataclasses import dataclass
@@ -12,7 +13,7 @@
 from oakfork.brain import Brain
 from oakfork.interface import NEVER_RAN, SECOND, Repeat, State, Status
 
-WINDOW = 2 * SECOND     # the central bucket counts in windows: short against a burst, long against a call
+WINDOW = 2 * SECOND  # the central bucket counts in windows: short against a burst, long against a call
 
 
 @dataclass(slots=True)
@@ -20,8 +21,8 @@
     ask: face.Arrival
     dl: int
     sent: int = 0
-    maybe: int = 0          # call-outs that may have run
-    first: int = -1         # the server of the first of those
+    maybe: int = 0  # call-outs that may have run
+    first: int = -1  # the server of the first of those
     over: bool = False
 
 
@@ -36,7 +37,7 @@
         self.turn = 0
         self.rpcs: dict[int, Rpc] = {}
         self.buckets: dict[int, tuple[float, int]] = {}
-        self.counting: dict[int, list[int]] = {}    # name -> RPCs that wait for the counter; emptied by its answers
+        self.counting: dict[int, list[int]] = {}  # name -> RPCs that wait for the counter; emptied by its answers
         self.ends: list[tuple[int, int]] = []
         self.woken = 0
         self.commands: list[face.Command] = []
@@ -99,7 +100,7 @@
         plan = self.birth.plans[rpc.ask.plan]
         if status == Status.OK and total > plan.rate * WINDOW / SECOND + plan.burst / 2:
             self._refuse(index, WINDOW - now % WINDOW)
-        else:       # a counter that does not answer lets everything in, as such gateways do
+        else:  # a counter that does not answer lets everything in, as such gateways do
             self._send(now, index, rpc)
 
     # Servers
--- a/oakfork/lab/ports.py
+++ b/oakfork/lab/ports.py
@@ -4,6 +4,7 @@
 same moment: a look alone is no claim. So each process claims a block of ports for as long as it lives, by an abstract
 socket that only one process can have, and hands out the ports of its block in turn.
 """
+
 import os
 import socket
 from contextlib import suppress
@@ -11,7 +12,7 @@
 
 from oakfork.errors import RigError
 
-BLOCK = 250         # ports; a process of the laboratory asks for some twenty at a time, at most
+BLOCK = 250  # ports; a process of the laboratory asks for some twenty at a time, at most
 CLAIM = "\0oakfork ports {}"
 
 Place = tuple[str, int]
@@ -28,7 +29,7 @@
 
     def __init__(self, first: int, last: int) -> None:
         self.claim = socket.socket(socket.AF_UNIX, socket.SOCK_DGRAM)
-        for number in range(first // BLOCK, -(-last // BLOCK)):     # alike for ranges that overlap
+        for number in range(first // BLOCK, -(-last // BLOCK)):  # alike for ranges that overlap
             with suppress(OSError):
                 self.claim.bind(CLAIM.format(number))
                 self.block = range(max(number * BLOCK, first), min((number + 1) * BLOCK, last))
@@ -47,14 +48,14 @@
             place = "127.0.0.1", self.block[self.given % len(self.block)]
             self.given += 1
             with socket.socket(socket.AF_INET, kind) as sock, suppress(OSError):
-                sock.bind(place)        # may still be somebody else's, or one that has not quite ended
+                sock.bind(place)  # may still be somebody else's, or one that has not quite ended
                 places.append(place)
         if len(places) < number:
             raise RigError(f"fewer than {number} ports are free from {self.block.start} to {self.block.stop}")
         return places
 
 
-_ours: list[Ports] = []         # one at most: the block of this process; a child made by a fork claims its own
+_ours: list[Ports] = []  # one at most: the block of this process; a child made by a fork claims its own
 
 
 def free_places(number: int, kind: Any) -> list[Place]:
--- a/oakfork/lab/relay.py
+++ b/oakfork/lab/relay.py
@@ -3,6 +3,7 @@
 Each party sees each other party at an address of its own, a relay's. What comes there from that party goes to the
 other, from the address at which the other sees the first.
 """
+
 import random
 import socket
 from dataclasses import dataclass
@@ -11,8 +12,8 @@
 import trio
 
 LARGEST = 2048
-HEADERS = 28                # bytes of IPv4 and UDP before each datagram's payload
-MOST_WAITING = 10_000       # datagrams under way in all; more are lost
+HEADERS = 28  # bytes of IPv4 and UDP before each datagram's payload
+MOST_WAITING = 10_000  # datagrams under way in all; more are lost
 
 Party = Hashable
 Place = tuple[str, int]
@@ -21,9 +22,10 @@
 @dataclass(slots=True)
 class Way:
     """One direction between two parties. Times are seconds."""
+
     cut: bool = False
     loss: float = 0.0
-    delay: float = 0.0      # mean; drawn anew for each, so that they overtake each other
+    delay: float = 0.0  # mean; drawn anew for each, so that they overtake each other
     double: float = 0.0
 
 
--- a/oakfork/lab/rig.py
+++ b/oakfork/lab/rig.py
@@ -2,6 +2,7 @@
 
 Every wait is bounded, each party has a port of its own, and nothing is left running.
 """
+
 import json
 import os
 import signal
@@ -22,15 +23,21 @@
 from oakfork.lab.witness import Witness
 
 WITNESS = "witness"
-READY = 20.0        # seconds in which a process has to be ready
+READY = 20.0  # seconds in which a process has to be ready
 
 
 class Rig:
     """`configure(index, listen)` gives a gateway's configuration, `fleet(index, addresses, witness)` its fleet file."""
 
-    def __init__(self, folder: Path, gateways: int, seed: int, configure: Callable[[int, str], dict[str, Any]],
-                 fleet: Callable[[int, list[str], str], dict[str, Any]],
-                 extra: dict[str, Callable[[int], dict[str, Any]]] | None = None) -> None:
+    def __init__(
+        self,
+        folder: Path,
+        gateways: int,
+        seed: int,
+        configure: Callable[[int, str], dict[str, Any]],
+        fleet: Callable[[int, list[str], str], dict[str, Any]],
+        extra: dict[str, Callable[[int], dict[str, Any]]] | None = None,
+    ) -> None:
         self.folder, self.gateways, self.seed = folder, gateways, seed
         self.configure, self.fleet, self.extra = configure, fleet, extra or {}
         places: dict[Any, tuple[str, int]] = dict(enumerate(free_places(gateways, socket.SOCK_DGRAM)))
@@ -41,7 +48,7 @@
         self.listens = [text(place) for place in free_places(gateways, socket.SOCK_STREAM)]
         self.processes: list[subprocess.Popen | None] = [None] * gateways
         self.stopped: set[int] = set()
-        self.log: list[str] = []            # what was done, as many lines as troubles
+        self.log: list[str] = []  # what was done, as many lines as troubles
 
     def _write(self, index: int) -> dict[str, str]:
         addresses = [text(self.relays.seen(index, other)) for other in range(self.gateways)]
@@ -59,9 +66,13 @@
     def start(self, index: int) -> None:
         environment = {key: value for key, value in os.environ.items() if not key.startswith("LB_")}
         with open(self.folder / f"n{index}.log", "ab") as log:
-            self.processes[index] = subprocess.Popen([sys.executable, "-m", "oakfork"], stderr=log, stdout=log,
-                                                     env=environment | self._write(index),
-                                                     cwd=Path(__file__).parent.parent.parent)
+            self.processes[index] = subprocess.Popen(
+                [sys.executable, "-m", "oakfork"],
+                stderr=log,
+                stdout=log,
+                env=environment | self._write(index),
+                cwd=Path(__file__).parent.parent.parent,
+            )
 
     def send(self, index: int, number: int) -> None:
         process = self.processes[index]
@@ -96,7 +107,7 @@
                 try:
                     await self.ready()
                     result = await play(self)
-                except RigError as error:       # by itself, not inside the nursery's group
+                except RigError as error:  # by itself, not inside the nursery's group
                     failed = error
                 nursery.cancel_scope.cancel()
         finally:
@@ -116,15 +127,17 @@
                 await trio.sleep_until(begun + trouble.at)
                 whom = trouble.whom if trouble.whom != HOLDER else self.witness.holder()
                 if whom is not None:
-                    self.log.append(f"{trio.current_time() - begun:.3f} {trouble.kind} {whom} {trouble.other} "
-                                    f"{trouble.lasts} {trouble.size}")
+                    self.log.append(
+                        f"{trio.current_time() - begun:.3f} {trouble.kind} {whom} {trouble.other} "
+                        f"{trouble.lasts} {trouble.size}"
+                    )
                     nursery.start_soon(self.strike, trouble, whom)
 
     async def strike(self, trouble: Trouble, whom: int) -> None:
         kind = trouble.kind
         if kind in ("kill", "leave"):
             if self.processes[whom].poll() is not None:
-                return      # down already
+                return  # down already
             self.send(whom, signal.SIGKILL if kind == "kill" else signal.SIGTERM)
             await trio.to_thread.run_sync(self._ended, whom)
             await trio.sleep(trouble.lasts / 4)
@@ -140,16 +153,25 @@
         elif kind == "witness restarts":
             self.witness.restart()
         else:
-            changes = {"cut": {"cut": True}, "cut one way": {"cut": True}, "lose": {"loss": trouble.size},
-                       "delay": {"delay": trouble.size}, "double": {"double": trouble.size}}[kind]
-            others = [other for other in self.relays.places if other != whom and (
-                trouble.other in (-1, other) or other == WITNESS and kind in ("delay", "double"))]
+            changes = {
+                "cut": {"cut": True},
+                "cut one way": {"cut": True},
+                "lose": {"loss": trouble.size},
+                "delay": {"delay": trouble.size},
+                "double": {"double": trouble.size},
+            }[kind]
+            others = [
+                other
+                for other in self.relays.places
+                if other != whom and (trouble.other in (-1, other) or other == WITNESS and kind in ("delay", "double"))
+            ]
             for other in others:
                 self.relays.set(whom, other, kind != "cut one way", **changes)
             await trio.sleep(trouble.lasts)
             for other in others:
-                self.relays.set(whom, other, kind != "cut one way",
-                                **{name: type(value)(0) for name, value in changes.items()})
+                self.relays.set(
+                    whom, other, kind != "cut one way", **{name: type(value)(0) for name, value in changes.items()}
+                )
 
     def _ended(self, index: int) -> None:
         try:
--- a/oakfork/lab/scale/addedparties.py
+++ b/oakfork/lab/scale/addedparties.py
@@ -3,6 +3,7 @@
 The process takes orders as JSON lines on its standard input and ends at its end, or after LIFE. Its servers note when
 they had a request whole and when they began to answer it, by time.perf_counter_ns.
 """
+
 import json
 import os
 import random
@@ -20,14 +21,15 @@
 from oakfork.sockets.endings import Ending
 from oakfork.sockets.heads import Message
 
-LIFE = 900.0        # seconds
+LIFE = 900.0  # seconds
 MOST_SERVED = 200_000
-KEPT = 64           # changes of the list that a watch may be behind
+KEPT = 64  # changes of the list that a watch may be behind
 ROOT = Path(__file__).resolve().parents[3]
 
 
 class Served(NamedTuple):
     """One RPC at one server: nanoseconds."""
+
     rpc: str
     server: int
     came: int
@@ -73,8 +75,11 @@
         self.change(self.servers)
 
     async def answer(self, message: Message) -> tuple[int, bytes, list[tuple[str, str]]]:
-        status, body, headers = await super().answer(message) if b"from=" not in message.head.target else \
-            (200, await self._news(message.head.target), [])
+        status, body, headers = (
+            await super().answer(message)
+            if b"from=" not in message.head.target
+            else (200, await self._news(message.head.target), [])
+        )
         return status, body, headers
 
     async def _news(self, target: bytes) -> bytes:
@@ -101,7 +106,7 @@
         self.servers = [SteadyServer(number, work_s, self.served) for number in range(servers)]
         self.discovery = ChangingList([])
         self.discovery.begin([])
-        self.every = 0.0        # seconds between changes of the list; 0: none
+        self.every = 0.0  # seconds between changes of the list; 0: none
 
     async def run(self) -> None:
         self._say({"servers": [server.address for server in self.servers], "discovery": self.discovery.address})
@@ -122,15 +127,15 @@
                     self._say(self._do(**json.loads(line)))
 
     def _do(self, do: str, **told: Any) -> dict[str, Any]:
-        if do == "list":        # of so many entries, at the first `among` servers
-            addresses = [server.address for server in self.servers][:told["among"]]
+        if do == "list":  # of so many entries, at the first `among` servers
+            addresses = [server.address for server in self.servers][: told["among"]]
             self.discovery.begin(listed(told["servers"], addresses))
         elif do == "changes":
             self.every = told["every_s"]
         elif do == "server":
             server = self.servers[told["number"]]
             server.work.mean, server.hangs, server.breaks = told["work_s"], told["hangs"], told["breaks"]
-        elif do == "served":    # since the last time
+        elif do == "served":  # since the last time
             served = list(self.served)
             self.served.clear()
             return {"served": served}
@@ -154,8 +159,13 @@
 
     def __init__(self, servers: int, work_s: float) -> None:
         environment = {key: value for key, value in os.environ.items() if not key.startswith("LB_")}
-        self.process = subprocess.Popen([sys.executable, "-m", __name__, str(servers), str(work_s)], env=environment,
-                                        stdin=subprocess.PIPE, stdout=subprocess.PIPE, cwd=ROOT)
+        self.process = subprocess.Popen(
+            [sys.executable, "-m", __name__, str(servers), str(work_s)],
+            env=environment,
+            stdin=subprocess.PIPE,
+            stdout=subprocess.PIPE,
+            cwd=ROOT,
+        )
         self.work_s = work_s
         self.addresses: list[str] = []
         self.discovery = ""
--- a/oakfork/lab/scale/addedtier.py
+++ b/oakfork/lab/scale/addedtier.py
@@ -1,4 +1,5 @@
 """A tier of real gateways of group "added", traced or not, and the client that times each RPC of its own."""
+
 import json
 import os
 import signal
@@ -21,23 +22,46 @@
 from oakfork.lab.scale.addedparties import ROOT
 from oakfork.sockets.heads import Link, connect, plain
 
-READY = 60.0        # seconds in which the gateways of a tier have to be ready
-LEAVING = 12.0      # seconds in which they have to leave
+READY = 60.0  # seconds in which the gateways of a tier have to be ready
+LEAVING = 12.0  # seconds in which they have to leave
 CUSTOMERS, METHOD, PLAN = 100, "read", "basic"
-MAIL_PER_S = 100.0      # frames that a gateway takes in; the module paces those to one peer by it
+MAIL_PER_S = 100.0  # frames that a gateway takes in; the module paces those to one peer by it
 PROGRAM, TRACED = "oakfork", traced.__name__
 
 
 def settings(aim_ms: float) -> dict[str, Any]:
     """One method and one plan whose quota nobody fills; prices, grain and mail as in deployments."""
-    return {"zones": ["z"], "zone": 0, "tick-ms": 4.0, "discovery": "automatic",
-            "classes": [{"name": METHOD, "aim-ms": aim_ms, "deadline-ms": 2 * aim_ms, "effect": "read_like",
-                         "group": "all", "value": 1.0}],
-            "tiers-of-service": [{"name": PLAN, "refill": 50.0, "peak-units": 100.0}],
-            "limits": {"attempts-cap": 4, "cancel": True, "parallel-tries": True, "peers": True, "probing": True,
-                       "retry-after": True, "conn-idle-ms": 15000.0, "connect-timeout-ms": 250.0},
-            "specifics": {"mail-per-s": MAIL_PER_S, "units-top": 2}, "tariffs": {"probe": 0.01, "handshake": 0.02},
-            "invariants": {"stop-sending-within-ms": 500.0}, "stats": {"how": "off", "names": []}}
+    return {
+        "zones": ["z"],
+        "zone": 0,
+        "tick-ms": 4.0,
+        "discovery": "automatic",
+        "classes": [
+            {
+                "name": METHOD,
+                "aim-ms": aim_ms,
+                "deadline-ms": 2 * aim_ms,
+                "effect": "read_like",
+                "group": "all",
+                "value": 1.0,
+            }
+        ],
+        "tiers-of-service": [{"name": PLAN, "refill": 50.0, "peak-units": 100.0}],
+        "limits": {
+            "attempts-cap": 4,
+            "cancel": True,
+            "parallel-tries": True,
+            "peers": True,
+            "probing": True,
+            "retry-after": True,
+            "conn-idle-ms": 15000.0,
+            "connect-timeout-ms": 250.0,
+        },
+        "specifics": {"mail-per-s": MAIL_PER_S, "units-top": 2},
+        "tariffs": {"probe": 0.01, "handshake": 0.02},
+        "invariants": {"stop-sending-within-ms": 500.0},
+        "stats": {"how": "off", "names": []},
+    }
 
 
 class Tier:
@@ -45,9 +69,19 @@
     `troubles` are then the relays' to play. `fleet` gives a gateway's fleet file, of its number and the addresses for
     datagrams of the fleet, which are others than those of its peers."""
 
-    def __init__(self, folder: Path, name: str, module: str, gateways: int, discovery: str,
-                 servers: list[dict[str, Any]], aim_ms: float, relayed: bool = False, seed: int = 1,
-                 fleet: Callable[[int, list[str]], dict[str, Any]] | None = None) -> None:
+    def __init__(
+        self,
+        folder: Path,
+        name: str,
+        module: str,
+        gateways: int,
+        discovery: str,
+        servers: list[dict[str, Any]],
+        aim_ms: float,
+        relayed: bool = False,
+        seed: int = 1,
+        fleet: Callable[[int, list[str]], dict[str, Any]] | None = None,
+    ) -> None:
         self.folder, self.name, self.module, self.gateways = folder, name, module, gateways
         datagrams = free_places(2 * gateways if fleet else gateways, socket.SOCK_DGRAM)
         places = dict(enumerate(datagrams[:gateways]))
@@ -60,14 +94,24 @@
             for index in range(gateways):
                 self._path(index, "toml").write_bytes(tomli_w.dumps(fleet(index, addresses)).encode())
         for index in range(gateways):
-            peers = [text(self.relays.seen(index, other) if self.relays else places[other])
-                     for other in range(gateways)]
-            self._path(index, "json").write_text(json.dumps(
-                {"name": f"{name}{index}", "listen": self.listens[index], "discovery": discovery,
-                 "seed": f"{seed * 100 + index:x}", "limits": {"cores": 1.0, "memory_mb": 128, "sockets": 1024},
-                 "peers": peers, "peer_listen": text(places[index]),
-                 "known": {"version": 1, "full": True, "servers": servers},
-                 "settings": settings(aim_ms) | {"balancers": gateways, "index": index}}))
+            peers = [
+                text(self.relays.seen(index, other) if self.relays else places[other]) for other in range(gateways)
+            ]
+            self._path(index, "json").write_text(
+                json.dumps(
+                    {
+                        "name": f"{name}{index}",
+                        "listen": self.listens[index],
+                        "discovery": discovery,
+                        "seed": f"{seed * 100 + index:x}",
+                        "limits": {"cores": 1.0, "memory_mb": 128, "sockets": 1024},
+                        "peers": peers,
+                        "peer_listen": text(places[index]),
+                        "known": {"version": 1, "full": True, "servers": servers},
+                        "settings": settings(aim_ms) | {"balancers": gateways, "index": index},
+                    }
+                )
+            )
 
     def _path(self, index: int, kind: str) -> Path:
         return self.folder / f"{self.name}{index}.{kind}"
@@ -80,8 +124,15 @@
                 if self.fleet:
                     paths["LB_FLEET"] = str(self._path(index, "toml"))
                 with open(self._path(index, "log"), "wb") as log:
-                    self.processes.append(subprocess.Popen([sys.executable, "-m", self.module], cwd=ROOT, stdout=log,
-                                                           stderr=log, env=environment | paths))
+                    self.processes.append(
+                        subprocess.Popen(
+                            [sys.executable, "-m", self.module],
+                            cwd=ROOT,
+                            stdout=log,
+                            stderr=log,
+                            env=environment | paths,
+                        )
+                    )
         except BaseException:
             self.__exit__()
             raise
@@ -89,7 +140,7 @@
 
     def __exit__(self, *error: object) -> None:
         for process in self.processes:
-            process.kill()      # stopped ones too
+            process.kill()  # stopped ones too
             process.wait()
 
     async def ready(self) -> None:
@@ -123,14 +174,17 @@
             with suppress(subprocess.TimeoutExpired):
                 process.wait(max(0.1, until - monotonic()))
         ended = [process.poll() for process in self.processes]
-        if any(ended):      # None would be one that has not left; 0 is as it should be
+        if any(ended):  # None would be one that has not left; 0 is as it should be
             raise RigError(f"the gateways of tier {self.name} ended with {ended}")
         if None in ended:
             raise RigError(f"not all gateways of tier {self.name} left within {LEAVING:.0f} s")
         if self.module == PROGRAM:
             return []
-        return [json.loads(line) for index in range(self.gateways)
-                for line in self._path(index, "trace").read_text().splitlines()]
+        return [
+            json.loads(line)
+            for index in range(self.gateways)
+            for line in self._path(index, "trace").read_text().splitlines()
+        ]
 
 
 async def _ready(listen: str) -> bool:
@@ -148,6 +202,7 @@
 
 class Row(NamedTuple):
     """One RPC as its client saw it: nanoseconds from about to be written to its answer read."""
+
     rpc: str
     target: str
     begun: int
@@ -171,8 +226,8 @@
 
 class Block(NamedTuple):
     rows: list[Row]
-    answers: dict[str, int]     # by status or ending; "none": no answer in time
-    behind: int                 # RPCs that the client itself sent late
+    answers: dict[str, int]  # by status or ending; "none": no answer in time
+    behind: int  # RPCs that the client itself sent late
 
 
 async def play(targets: list[str], rate: float, seconds: float, deadline_ms: float, seed: int) -> Block:
--- a/oakfork/lab/scale/beside.py
+++ b/oakfork/lab/scale/beside.py
@@ -2,6 +2,7 @@
 same state, and send to the servers of one service that the publisher tells them. The same client asks them with change
 sets going on and without, and the servers straight, in blocks whose order a seed draws.
 """
+
 import random
 import tempfile
 from pathlib import Path
@@ -25,15 +26,16 @@
 class Sizes(NamedTuple):
     """Times are seconds. `every`: between change sets, each of a record of the made state and, every other one, of one
     of these gateways' own servers too; 2,000 bunched into an hour come each 1.8 s."""
+
     gateways: int = 3
     servers: int = 8
-    rate: float = 30.0              # RPCs a second a gateway
-    aim_ms: float = 1000.0          # soft deadline; the deadline is twice that
-    rounds: int = 4                 # blocks of each kind
+    rate: float = 30.0  # RPCs a second a gateway
+    aim_ms: float = 1000.0  # soft deadline; the deadline is twice that
+    rounds: int = 4  # blocks of each kind
     block: float = 3.0
     warm: float = 1.0
     every: float = 0.5
-    ready: float = 120.0            # until they have the state and send where it says
+    ready: float = 120.0  # until they have the state and send where it says
 
 
 SMALL = Sizes(gateways=2, servers=3, rate=40.0, aim_ms=500.0, rounds=1, block=0.4, warm=0.1, every=0.1, ready=30.0)
@@ -46,13 +48,23 @@
         self.addresses, self.serial = addresses, 0
 
     def _server(self, number: int) -> made.Item:
-        return {"id": f"{SERVICE}-{number}", "addr": self.addresses[number], "zone": "z", "kind": "k", "cell": 0,
-                "state": "up", "weight": 1, "started_ms": self.serial, "service": SERVICE}
+        return {
+            "id": f"{SERVICE}-{number}",
+            "addr": self.addresses[number],
+            "zone": "z",
+            "kind": "k",
+            "cell": 0,
+            "state": "up",
+            "weight": 1,
+            "started_ms": self.serial,
+            "service": SERVICE,
+        }
 
     def begin(self) -> made.Change:
         service = {"name": SERVICE, "methods": [{"name": "read", "aim_ms": 100, "deadline_ms": 400}]}
-        return self._change([(Kind.SERVICE, service)] + [
-            (Kind.SERVER, self._server(number)) for number in range(len(self.addresses))])
+        return self._change(
+            [(Kind.SERVICE, service)] + [(Kind.SERVER, self._server(number)) for number in range(len(self.addresses))]
+        )
 
     def turn(self) -> made.Change:
         """The registered size of one changes: nothing that the choice among servers would notice."""
@@ -61,26 +73,33 @@
         return self._change([(Kind.SERVER, item | {"started_ms": 0, "weight": 1 + self.serial % 1000 / 1000})])
 
     def _change(self, put: list[tuple[Kind, made.Item]]) -> made.Change:
-        return made.change(f"{SERVICE}-{self.serial}", [((kind, item.get("id") or item["name"]), item)
-                                                        for kind, item in put], [])
+        return made.change(
+            f"{SERVICE}-{self.serial}", [((kind, item.get("id") or item["name"]), item) for kind, item in put], []
+        )
 
 
 class Beside:
     def __init__(self, fleet: Fleet, changes: made.Changes, sizes: Sizes, seed: int) -> None:
         self.fleet, self.changes, self.sizes, self.dice = fleet, changes, sizes, random.Random(seed)
-        self.published = 0      # times that change sets went out beside the load
+        self.published = 0  # times that change sets went out beside the load
         self.failed: RigError | None = None
 
     async def run(self) -> dict[str, Any]:
         """What the client saw; raises RigError where the gateways do not start, or do not send where they are told."""
         sizes = self.sizes
-        with tempfile.TemporaryDirectory(prefix="oakfork-beside-") as folder, \
-                Parties(sizes.servers, WORK) as parties:
+        with tempfile.TemporaryDirectory(prefix="oakfork-beside-") as folder, Parties(sizes.servers, WORK) as parties:
             own = Own(parties.addresses)
             await self.fleet.publish(own.begin())
-            with Tier(      # whose configurations know the first server alone
-                    Path(folder), "beside", PROGRAM, sizes.gateways, "127.0.0.1:9", listed(1, parties.addresses),
-                    sizes.aim_ms, fleet=self._file) as tier:
+            with Tier(  # whose configurations know the first server alone
+                Path(folder),
+                "beside",
+                PROGRAM,
+                sizes.gateways,
+                "127.0.0.1:9",
+                listed(1, parties.addresses),
+                sizes.aim_ms,
+                fleet=self._file,
+            ) as tier:
                 await tier.ready()
                 await self._told(tier, parties)
                 blocks = await self._blocks(tier, parties, own)
@@ -89,8 +108,12 @@
 
     def _file(self, index: int, addresses: list[str]) -> dict[str, Any]:
         relays = [text(self.fleet.relays[relay]) for relay in self.fleet.relays_of(index)]
-        return {"revision": 1, "addresses": addresses, "control": {"relays": relays, "service": SERVICE},
-                "leases": LEASES}
+        return {
+            "revision": 1,
+            "addresses": addresses,
+            "control": {"relays": relays, "service": SERVICE},
+            "leases": LEASES,
+        }
 
     def _load(self, seconds: float) -> tuple[float, float, float]:
         return self.sizes.rate * self.sizes.gateways, seconds, 2 * self.sizes.aim_ms
@@ -132,7 +155,7 @@
                         await self.fleet.publish(own.turn())
                     self.published += 1
                 await trio.sleep(self.sizes.every)
-        except RigError as error:       # told by itself, not inside the nursery's group
+        except RigError as error:  # told by itself, not inside the nursery's group
             self.failed = error
 
     def _figures(self, blocks: dict[str, list[Block]], parties: Parties) -> dict[str, Any]:
@@ -144,7 +167,15 @@
             found[kind]["sent late by the client"] = sum(block.behind for block in played)
         straight = found[DIRECT]["beside the server"]
         added = {kind: over(straight, found[kind]["beside the server"]) for kind in (WITH, WITHOUT)}
-        ratio = {quantile: round(added[WITH][quantile] / added[WITHOUT][quantile], 3)
-                 for quantile in ("p50_ms", "p99_ms") if added[WITHOUT][quantile] > 0}
-        return {"sizes": self.sizes._asdict(), "change_sets": self.published, "client": found, "added": added,
-                "with changes over without": ratio}
+        ratio = {
+            quantile: round(added[WITH][quantile] / added[WITHOUT][quantile], 3)
+            for quantile in ("p50_ms", "p99_ms")
+            if added[WITHOUT][quantile] > 0
+        }
+        return {
+            "sizes": self.sizes._asdict(),
+            "change_sets": self.published,
+            "client": found,
+            "added": added,
+            "with changes over without": ratio,
+        }
--- a/oakfork/lab/scale/budget.py
+++ b/oakfork/lab/scale/budget.py
@@ -2,15 +2,17 @@
 
 Nothing here is measured; measures are stored in experiments/scale. Bytes are counted in thousands.
 """
+
 import math
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-DAY, HOUR, MINUTE, MS = 86_400, 3_600, 60, 1_000     # seconds; milliseconds of one
+DAY, HOUR, MINUTE, MS = 86_400, 3_600, 60, 1_000  # seconds; milliseconds of one
 
 
 class View(NamedTuple):
     """How much of the fleet one gateway knows: that many servers, gateways, tenants and regions, itself among them."""
+
     name: str
     servers: float
     gateways: float
@@ -20,34 +22,36 @@
 
 class Assumption(NamedTuple):
     """What the table leaves open: taken as a value, or as words where it is not one figure."""
+
     name: str
     value: float | None
     taken: str
-    other: str      # the other reading, and where its outcome stands
+    other: str  # the other reading, and where its outcome stands
 
 
 @dataclass(frozen=True)
 class Budget:
     """The operators' table: the whole fleet, or one gateway where that is said."""
+
     gateways: float = 2_700
     servers: float = 41_000
     services: float = 2_000
     regions: float = 7
     zones: float = 16
-    requests: float = 320_000       # a second, at the peak
+    requests: float = 320_000  # a second, at the peak
     routes: float = 58_000
     tenants: float = 59_000
-    added_ms: float = 4.9           # to a request ...
-    within: float = 0.99            # ... for that part of them
-    changes: float = 2_000          # of configuration, a day
-    in_force: float = 16            # seconds, everywhere
-    core: float = 0.011             # of a gateway's control
-    memory: float = 128e6           # bytes, likewise
-    traffic: float = 2e3            # bytes a second, likewise
-    machines: float = 12            # for control
-    failed: float = 63              # machines, on an ordinary day
-    restarted: float = 2_500        # or replaced, likewise
-    apart: float = HOUR             # seconds for which regions lose each other
+    added_ms: float = 4.9  # to a request ...
+    within: float = 0.99  # ... for that part of them
+    changes: float = 2_000  # of configuration, a day
+    in_force: float = 16  # seconds, everywhere
+    core: float = 0.011  # of a gateway's control
+    memory: float = 128e6  # bytes, likewise
+    traffic: float = 2e3  # bytes a second, likewise
+    machines: float = 12  # for control
+    failed: float = 63  # machines, on an ordinary day
+    restarted: float = 2_500  # or replaced, likewise
+    apart: float = HOUR  # seconds for which regions lose each other
 
     @property
     def asked(self) -> float:
@@ -65,8 +69,9 @@
 
     @property
     def own_region(self) -> View:
-        return View("its region's", self.servers / self.regions, self.gateways / self.regions,
-                    self.tenants / self.regions, 1)
+        return View(
+            "its region's", self.servers / self.regions, self.gateways / self.regions, self.tenants / self.regions, 1
+        )
 
     @property
     def views(self) -> tuple[View, View]:
@@ -75,43 +80,98 @@
     def rows(self) -> list[tuple[str, list[tuple[str, float]]]]:
         """The table by lines, for people."""
         return [
-            ("fleet", [("gateways", self.gateways), ("servers", self.servers), ("services", self.services),
-                       ("regions", self.regions), ("zones", self.zones)]),
-            ("load", [("requests a second at the peak", self.requests), ("routes", self.routes),
-                      ("tenants", self.tenants)]),
+            (
+                "fleet",
+                [
+                    ("gateways", self.gateways),
+                    ("servers", self.servers),
+                    ("services", self.services),
+                    ("regions", self.regions),
+                    ("zones", self.zones),
+                ],
+            ),
+            (
+                "load",
+                [("requests a second at the peak", self.requests), ("routes", self.routes), ("tenants", self.tenants)],
+            ),
             ("time", [("ms added", self.added_ms), ("part of the requests", self.within)]),
             ("changes", [("a day", self.changes), ("s until in force everywhere", self.in_force)]),
-            ("control of one gateway", [("of a core", self.core), ("bytes of memory", self.memory),
-                                        ("bytes a second", self.traffic)]),
+            (
+                "control of one gateway",
+                [("of a core", self.core), ("bytes of memory", self.memory), ("bytes a second", self.traffic)],
+            ),
             ("control machines", [("machines", self.machines)]),
-            ("failures", [("machines fail a day", self.failed), ("restarted or replaced a day", self.restarted),
-                          ("s for which regions lose each other", self.apart)])]
+            (
+                "failures",
+                [
+                    ("machines fail a day", self.failed),
+                    ("restarted or replaced a day", self.restarted),
+                    ("s for which regions lose each other", self.apart),
+                ],
+            ),
+        ]
 
 
 def _assumptions() -> tuple[Assumption, ...]:
     return (
-        Assumption("asks", None, "an ask for a quota, and its answer, counts as control",
-                   "it belongs to the request: both in the table of asks"),
-        Assumption("services", None, "a gateway serves all services: it knows every server, gateway and tenant",
-                   "it serves its region's, an even part of each: the second column of every table"),
-        Assumption("sent", None, "the budget of bytes counts what a gateway sends",
-                   "what it receives as well: the table of asks"),
+        Assumption(
+            "asks",
+            None,
+            "an ask for a quota, and its answer, counts as control",
+            "it belongs to the request: both in the table of asks",
+        ),
+        Assumption(
+            "services",
+            None,
+            "a gateway serves all services: it knows every server, gateway and tenant",
+            "it serves its region's, an even part of each: the second column of every table",
+        ),
+        Assumption(
+            "sent",
+            None,
+            "the budget of bytes counts what a gateway sends",
+            "what it receives as well: the table of asks",
+        ),
         Assumption("headers", None, "bytes count the headers of IPv4 and UDP", "payload alone: the table of asks"),
-        Assumption("spread", None, "any gateway that knows a tenant takes its requests, and may own it",
-                   "fewer: fewer owners, longer slices, the same number of asks but for the part that falls to itself"),
-        Assumption("memory", None, "the budget of memory counts the whole process",
-                   "only what grows with the fleet: the table of the control part"),
-        Assumption("zones", None, "the zones are those of all regions together",
-                   "of each region: then a lost zone is smaller by the number of regions, and every figure of it"),
+        Assumption(
+            "spread",
+            None,
+            "any gateway that knows a tenant takes its requests, and may own it",
+            "fewer: fewer owners, longer slices, the same number of asks but for the part that falls to itself",
+        ),
+        Assumption(
+            "memory",
+            None,
+            "the budget of memory counts the whole process",
+            "only what grows with the fleet: the table of the control part",
+        ),
+        Assumption(
+            "zones",
+            None,
+            "the zones are those of all regions together",
+            "of each region: then a lost zone is smaller by the number of regions, and every figure of it",
+        ),
         Assumption("rack", 40, "machines in a rack; each is one server", "gateways are among them: fewer servers"),
         Assumption("list changes of a restart", 3, "draining, gone, up again", "a failed one: gone, up again"),
         Assumption("list changes of a failure", 2, "gone, up again", "replaced: the same"),
-        Assumption("steps of a rollout", 10, "the gateways in so many parts, one after the other",
-                   "all at once: greetings as at a start of all"),
-        Assumption("round trip between regions", None, "over the time that may be added, as the operators say",
-                   "none: no figure rests on its length"),
-        Assumption("cold share", 0.25, "of its work, that a server can do at its start (the laboratory's)",
-                   "the operators' settings: the budget of a cold server moves with it"),
+        Assumption(
+            "steps of a rollout",
+            10,
+            "the gateways in so many parts, one after the other",
+            "all at once: greetings as at a start of all",
+        ),
+        Assumption(
+            "round trip between regions",
+            None,
+            "over the time that may be added, as the operators say",
+            "none: no figure rests on its length",
+        ),
+        Assumption(
+            "cold share",
+            0.25,
+            "of its work, that a server can do at its start (the laboratory's)",
+            "the operators' settings: the budget of a cold server moves with it",
+        ),
         Assumption("fall multiple", 3, "sent so many times more, a cold server falls (the laboratory's)", "likewise"),
         Assumption("fall time", 3, "seconds over which that counts (the laboratory's)", "likewise"),
     )
@@ -120,6 +180,7 @@
 @dataclass(frozen=True)
 class Open:
     """What the table leaves open, by name."""
+
     rows: tuple[Assumption, ...] = field(default_factory=_assumptions)
 
     def __getitem__(self, name: str) -> float:
@@ -129,14 +190,15 @@
 @dataclass(frozen=True)
 class Today:
     """What the program does, where a figure rests on it; a test compares each with the code."""
-    row: float = 16             # servers that a gateway keeps to, or chooses from (brain/servers.py)
-    retry_s: float = 0.25       # between two asks to a silent owner (brain/quotas.py)
-    silent_after: float = 2     # asks in a row without an answer (brain/quotas.py)
-    wait_part: float = 0.1      # of the soft deadline, for an answer (brain/quotas.py)
-    tries: float = 3            # of an ask, where the slice has spent or the plan has a ceiling (brain/quotas.py)
-    watch_s: float = 1.0        # that a watch without news takes (sockets/discovery.py)
-    body: float = 64 * 1024     # bytes of an answer of discovery that are taken in at most (sockets/heads.py)
-    told_s: float = 6.0         # the longest way of a change of the list, whatever failed (sockets/discovery.py)
+
+    row: float = 16  # servers that a gateway keeps to, or chooses from (brain/servers.py)
+    retry_s: float = 0.25  # between two asks to a silent owner (brain/quotas.py)
+    silent_after: float = 2  # asks in a row without an answer (brain/quotas.py)
+    wait_part: float = 0.1  # of the soft deadline, for an answer (brain/quotas.py)
+    tries: float = 3  # of an ask, where the slice has spent or the plan has a ceiling (brain/quotas.py)
+    watch_s: float = 1.0  # that a watch without news takes (sockets/discovery.py)
+    body: float = 64 * 1024  # bytes of an answer of discovery that are taken in at most (sockets/heads.py)
+    told_s: float = 6.0  # the longest way of a change of the list, whatever failed (sockets/discovery.py)
 
 
 def sharing(view: View, row: float) -> float:
--- a/oakfork/lab/scale/capacity.py
+++ b/oakfork/lab/scale/capacity.py
@@ -1,5 +1,6 @@
 """The tables of docs/CAPACITY.md: a pure function of the stored measures and of budget.py, between the page's
 markers."""
+
 import re
 from pathlib import Path
 from typing import Callable
@@ -13,20 +14,32 @@
 MARKED = re.compile(r"^<!-- table: (?P<name>[a-z ]+) -->\n(?P<body>.*?)^<!-- end of table -->$", re.M | re.S)
 MARKER = re.compile(r"^<!-- (?:table: .*|end of table) -->$", re.M)
 BY_VIEW: dict[str, Callable[[Sums], list[Row]]] = {
-    "path": roles.path, "owner": roles.owner, "control": roles.control, "machines": roles.machines,
-    "voters": roles.voters, "asks": roles.asks, "peak": days.peak, "bursts": days.bursts, "zone": days.zone,
-    "rollout": days.rollout, "bunched": days.bunched}
+    "path": roles.path,
+    "owner": roles.owner,
+    "control": roles.control,
+    "machines": roles.machines,
+    "voters": roles.voters,
+    "asks": roles.asks,
+    "peak": days.peak,
+    "bursts": days.bursts,
+    "zone": days.zone,
+    "rollout": days.rollout,
+    "bunched": days.bunched,
+}
 
 
 def _budget(sums: Sums) -> str:
-    rows = [[name, "; ".join(f"{plain(value, WHOLE)} {what}" for what, value in told)]
-            for name, told in sums.budget.rows()]
+    rows = [
+        [name, "; ".join(f"{plain(value, WHOLE)} {what}" for what, value in told)] for name, told in sums.budget.rows()
+    ]
     return markdown(["", "the operators' table"], rows)
 
 
 def _assumptions(sums: Sums) -> str:
-    rows = [[row.name, plain(row.value, SURE) if row.value is not None else "", row.taken, row.other]
-            for row in sums.open.rows]
+    rows = [
+        [row.name, plain(row.value, SURE) if row.value is not None else "", row.taken, row.other]
+        for row in sums.open.rows
+    ]
     return markdown(["assumption", "figure", "taken here", "the other reading"], rows)
 
 
@@ -43,8 +56,18 @@
         slope = plain(fit.slope) + ("" if fit.low == fit.high else f" ({plain(fit.low)} to {plain(fit.high)})")
         sizes = ", ".join(plain(size, WHOLE) for size, _ in measure.points)
         values = ", ".join(f"{key} {value}" for key, value in sorted(measure.held.items()))
-        rows.append([name, slope, plain(fit.intercept), plain(fit.residual), shape, sizes, values,
-                     f"`oakfork lab scale {group}`"])
+        rows.append(
+            [
+                name,
+                slope,
+                plain(fit.intercept),
+                plain(fit.residual),
+                shape,
+                sizes,
+                values,
+                f"`oakfork lab scale {group}`",
+            ]
+        )
     return markdown(HEAD, rows)
 
 
@@ -55,16 +78,21 @@
     """What holds of each run: what its group has stored beside its measures."""
     rows = []
     for group, told in sums.store.files.items():
-        scalars = {key: value for key, value in told.items() if key not in ("group", "command", "measures")
-                   and isinstance(value, str | int | float)}
-        said = "; ".join(f"{key}: {plain(value) if isinstance(value, float) else value}"
-                         for key, value in scalars.items())
+        scalars = {
+            key: value
+            for key, value in told.items()
+            if key not in ("group", "command", "measures") and isinstance(value, str | int | float)
+        }
+        said = "; ".join(
+            f"{key}: {plain(value) if isinstance(value, float) else value}" for key, value in scalars.items()
+        )
         rows.append([group, said, f"`oakfork lab scale {group}`"])
     return markdown(["group", "what holds of the run", "measured again by"], rows or [["", NOT_MEASURED, ""]])
 
 
-def tables(folder: Path, budget: Budget | None = None, unknown: Open | None = None, today: Today | None = None
-           ) -> dict[str, str]:
+def tables(
+    folder: Path, budget: Budget | None = None, unknown: Open | None = None, today: Today | None = None
+) -> dict[str, str]:
     """All tables by name; raises ValueError or OSError where a stored file is not one of ours."""
     sums = Sums(Store(folder), budget or Budget(), unknown or Open(), today or Today())
     groups, columns = sums.store.groups, [view.name for view in sums.budget.views]
@@ -93,4 +121,5 @@
     if marked != found.keys():
         raise ScaleError(f"marked or written, but not both: {', '.join(sorted(marked ^ found.keys()))}")
     return MARKED.sub(
-        lambda match: f"<!-- table: {match['name']} -->\n{found[match['name']]}\n<!-- end of table -->", page)
+        lambda match: f"<!-- table: {match['name']} -->\n{found[match['name']]}\n<!-- end of table -->", page
+    )
--- a/oakfork/lab/scale/capacityfigures.py
+++ b/oakfork/lab/scale/capacityfigures.py
@@ -1,4 +1,5 @@
 """Figures with their intervals and where they come from, and how the page shows them."""
+
 import json
 import math
 from dataclasses import dataclass, replace
@@ -10,12 +11,13 @@
 from oakfork.lab.scale.slopes import FEWEST, Measure, load
 
 NOT_MEASURED = "not measured"
-MEASURED, SURE, WHOLE = 3, 4, 6     # digits that count: of what is measured; derived from the table; of the table
+MEASURED, SURE, WHOLE = 3, 4, 6  # digits that count: of what is measured; derived from the table; of the table
 
 
 @dataclass(frozen=True)
 class Figure:
     """A value with its interval; None: a measure that it rests on has not been taken."""
+
     value: float | None
     low: float | None = None
     high: float | None = None
@@ -146,6 +148,7 @@
 
 class Row(NamedTuple):
     """A line of a table: one figure a column, a budget where there is one, the mechanism that carries it."""
+
     what: str
     figures: Sequence[Figure]
     budget: float | None = None
@@ -169,9 +172,16 @@
 
 def shown(columns: Sequence[str], rows: Iterable[Row], groups: dict[str, str]) -> str:
     """A table of rows; factors stand in the order of the columns."""
+
     def cells(row: Row) -> list[str]:
         factors = [str(figure / row.budget) for figure in row.figures] if row.budget else []
-        return [row.what, *map(str, row.figures), plain(row.budget, SURE) if row.budget else "",
-                " / ".join(factors), origin(row.figures, groups), row.why]
+        return [
+            row.what,
+            *map(str, row.figures),
+            plain(row.budget, SURE) if row.budget else "",
+            " / ".join(factors),
+            origin(row.figures, groups),
+            row.why,
+        ]
 
     return markdown(["", *columns, "budget", "factor", "from", "carried by"], map(cells, rows))
--- a/oakfork/lab/scale/command.py
+++ b/oakfork/lab/scale/command.py
@@ -1,5 +1,6 @@
 """`oakfork lab scale`: measures, shows what is stored, writes the tables of a page. Imports what it needs where it is
 used."""
+
 import importlib
 import sys
 from pathlib import Path
@@ -9,14 +10,15 @@
 
 from oakfork.errors import MISTAKE, WRONG, OakforkError, lines
 
-GROUPS = {name: f"oakfork.lab.scale.{name}" for name in (
-    "module", "process", "frames", "lists", "added", "control")} | {
-    "faults": "oakfork.lab.scale.controlfaults", "leases": "oakfork.lab.scale.capacityleases"}
+GROUPS = {
+    name: f"oakfork.lab.scale.{name}" for name in ("module", "process", "frames", "lists", "added", "control")
+} | {"faults": "oakfork.lab.scale.controlfaults", "leases": "oakfork.lab.scale.capacityleases"}
 STORED = "experiments/scale"
 
 
 def _show(folder: Path) -> int:
     from oakfork.lab.scale.slopes import line_of, load
+
     try:
         found = load(folder)
     except (OSError, ValueError, KeyError, TypeError) as error:
@@ -30,6 +32,7 @@
 
 def _page(page: Path, folder: Path, check: bool) -> int:
     from oakfork.lab.scale.capacity import tables, written
+
     try:
         text = page.read_text()
         told = written(text, tables(folder))
@@ -46,6 +49,7 @@
 
 def _measure(name: str, folder: Path | None, small: bool) -> None:
     from oakfork.lab.scale.slopes import line_of, store
+
     try:
         group = importlib.import_module(GROUPS[name])
     except ModuleNotFoundError as error:
@@ -59,12 +63,19 @@
 
 @click.command()
 @click.argument("groups", nargs=-1, type=click.Choice(sorted(GROUPS)))
-@click.option("--to", "to", type=click.Path(file_okay=False, path_type=Path),
-              help=f"Where measures are stored; {STORED} if left out.")
+@click.option(
+    "--to",
+    "to",
+    type=click.Path(file_okay=False, path_type=Path),
+    help=f"Where measures are stored; {STORED} if left out.",
+)
 @click.option("--small", is_flag=True, help="Tiny sizes, to see that it works; stored only with --to.")
 @click.option("--show", is_flag=True, help="Print what is stored, and measure nothing.")
-@click.option("--page", type=click.Path(dir_okay=False, path_type=Path),
-              help="Write the tables of this page from what is stored, and measure nothing.")
+@click.option(
+    "--page",
+    type=click.Path(dir_okay=False, path_type=Path),
+    help="Write the tables of this page from what is stored, and measure nothing.",
+)
 @click.option("--check", is_flag=True, help="With --page: only say whether it differs.")
 def scale(groups: tuple[str, ...], to: Path | None, small: bool, show: bool, page: Path | None, check: bool) -> int:
     """Measure how costs grow with the fleet, by groups (docs/CAPACITY.md); all of them if none is named."""
--- a/oakfork/lab/scale/control.py
+++ b/oakfork/lab/scale/control.py
@@ -5,6 +5,7 @@
 gateways beside and a cold zone. controlfaults.py has the play of faults.
 The time to everywhere holds the processors' share that one machine has for all: it is no less than on many.
 """
+
 import sys
 import tempfile
 from pathlib import Path
@@ -22,51 +23,73 @@
 from oakfork.lab.scale.slopes import Measure
 
 GROUP = "control"
-A_DAY = 2_000           # changes of the mean day
+A_DAY = 2_000  # changes of the mean day
 DAY = 86_400
-MARK = 10.0             # seconds at most for the next mark of all hollow processes, told once a second
+MARK = 10.0  # seconds at most for the next mark of all hollow processes, told once a second
 
 
 class Sizes(NamedTuple):
     """How much is played. Times are seconds."""
+
     gateways: tuple[int, ...] = (30, 100, 300, 1_000, 2_700)
     shape: Shape = FULL
     rest: float = 6.0
-    changes: int = 6            # single ones, `every` seconds
+    changes: int = 6  # single ones, `every` seconds
     every: float = 0.7
-    gone: int = 5               # change sets with one relay gone
-    bunched: int = 2_000        # a day's, as fast as they are taken, which is far denser than in an hour
-    operators: int = 8          # who submit the bunched ones, one after another each
+    gone: int = 5  # change sets with one relay gone
+    bunched: int = 2_000  # a day's, as fast as they are taken, which is far denser than in an hour
+    operators: int = 8  # who submit the bunched ones, one after another each
     cold: int = 170
-    cold_processes: int = 7     # beside the publisher and the relays: one for each processor
-    spread: float = 60.0        # for a change set to be in force everywhere
-    cold_wait: float = 180.0    # then those that are ready are counted
+    cold_processes: int = 7  # beside the publisher and the relays: one for each processor
+    spread: float = 60.0  # for a change set to be in force everywhere
+    cold_wait: float = 180.0  # then those that are ready are counted
     seed: int = 1
-    span: float = 30.0          # of the play of faults, and how long some last
+    span: float = 30.0  # of the play of faults, and how long some last
     holds: float = 20.0
     settled: float = 60.0
     beside: besides.Sizes = besides.Sizes()
 
 
-SMALL = Sizes((4, 6, 8, 12, 16), Shape(made.SMALL, 4, 1, 2, 1), 1.0, 2, 0.1, 2, 20, 2, 3, 1, 30.0, 30.0, 1, 0.5, 0.5,
-              30.0, besides.SMALL)
+SMALL = Sizes(
+    (4, 6, 8, 12, 16),
+    Shape(made.SMALL, 4, 1, 2, 1),
+    1.0,
+    2,
+    0.1,
+    2,
+    20,
+    2,
+    3,
+    1,
+    30.0,
+    30.0,
+    1,
+    0.5,
+    0.5,
+    30.0,
+    besides.SMALL,
+)
 
 
 class Cost(NamedTuple):
     """Of a while: of all hollow gateways together, and of the publisher and all relays."""
-    lasted: float       # seconds of what went on
-    seconds: float      # between the marks around it, in which the following were taken
-    came: float         # bytes to gateways
-    went: float         # bytes from gateways
-    gateways_s: float   # processor seconds
+
+    lasted: float  # seconds of what went on
+    seconds: float  # between the marks around it, in which the following were taken
+    came: float  # bytes to gateways
+    went: float  # bytes from gateways
+    gateways_s: float  # processor seconds
     serving_s: float
 
     def beyond(self, rest: "Cost") -> "Cost":
         """Less what rest takes in that time."""
         part = self.seconds / rest.seconds
-        return self._replace(came=self.came - part * rest.came, went=self.went - part * rest.went,
-                             gateways_s=self.gateways_s - part * rest.gateways_s,
-                             serving_s=self.serving_s - part * rest.serving_s)
+        return self._replace(
+            came=self.came - part * rest.came,
+            went=self.went - part * rest.went,
+            gateways_s=self.gateways_s - part * rest.gateways_s,
+            serving_s=self.serving_s - part * rest.serving_s,
+        )
 
 
 async def cost(fleet: Fleet, work: Callable[[], Any]) -> Cost:
@@ -92,6 +115,7 @@
 
 class Played(NamedTuple):
     """Of one size. `lasts_s`: of each single change, until the last gateway had it; `medians_s` likewise."""
+
     rest: Cost
     changes: Cost
     lasts_s: list[float]
@@ -126,15 +150,22 @@
 
             async def play(fleet: Fleet) -> None:
                 await fleet.faults(plan, made.Changes(self.shape.sizes, sizes.seed, paired=True), 0.5, sizes.settled)
+
             trio.run(fleet.run, play)
             if found := fleet.judged():
                 raise RigError(f"faults of seed {sizes.seed}: " + "; ".join(found))
-            return {"seed": sizes.seed, "plan": [one._asdict() for one in plan], "change_sets": len(fleet.acked),
-                    "spread": fleet.spread(fleet.acked), "counts": fleet.counts, "judged": "no fault found"}
+            return {
+                "seed": sizes.seed,
+                "plan": [one._asdict() for one in plan],
+                "change_sets": len(fleet.acked),
+                "spread": fleet.spread(fleet.acked),
+                "counts": fleet.counts,
+                "judged": "no fault found",
+            }
 
     async def _play(self, fleet: Fleet) -> Played:
         sizes = self.sizes
-        await trio.sleep(min(3.0, sizes.rest))      # the marks and beats have begun
+        await trio.sleep(min(3.0, sizes.rest))  # the marks and beats have begun
         rest = await cost(fleet, lambda: trio.sleep(sizes.rest))
         self.told(f"{self.gateways} gateways: at rest")
         begun = len(fleet.acked)
@@ -149,15 +180,17 @@
             self.told(f"{self.gateways} gateways: real ones beside, {self.more['beside']['added']}")
         await fleet.kill("relay-0")
         self.more["one relay gone"] = await self._spread(
-            fleet, lambda: self._single(fleet, sizes.gone, sizes.every / 2))
+            fleet, lambda: self._single(fleet, sizes.gone, sizes.every / 2)
+        )
         fleet.start("relay-0")
         self.more["taken"] = taken = fleet.taken()
         self.more["relay_memory_bytes"] = max(told["memory_bytes"] for name, told in taken.items() if name != PUBLISHER)
         if self.gateways == sizes.gateways[-1]:
             await self._cold(fleet)
         await fleet.everywhere(fleet.acked[-1].position, sizes.spread)
-        return Played(rest, changes, [one["last_ms"] / 1000 for one in each],
-                      [one["median_ms"] / 1000 for one in each], self.more)
+        return Played(
+            rest, changes, [one["last_ms"] / 1000 for one in each], [one["median_ms"] / 1000 for one in each], self.more
+        )
 
     async def _single(self, fleet: Fleet, count: int, every: float) -> None:
         for _ in range(count):
@@ -172,10 +205,16 @@
 
     async def _bursts(self, fleet: Fleet, rest: Cost) -> None:
         """Each is over when its last change set is in force everywhere."""
-        bursts = [("zone gone", lambda: self._sets(fleet, self.changes.zone_gone(0), 1)),
-                  ("zone back", lambda: self._sets(fleet, self.changes.zone_back(0), 1)),
-                  ("bunched", lambda: self._sets(fleet, [self.changes.some() for _ in range(self.sizes.bunched)],
-                                                 self.sizes.operators))]
+        bursts = [
+            ("zone gone", lambda: self._sets(fleet, self.changes.zone_gone(0), 1)),
+            ("zone back", lambda: self._sets(fleet, self.changes.zone_back(0), 1)),
+            (
+                "bunched",
+                lambda: self._sets(
+                    fleet, [self.changes.some() for _ in range(self.sizes.bunched)], self.sizes.operators
+                ),
+            ),
+        ]
         for name, work in bursts:
             begun = len(fleet.acked)
             taken = await cost(fleet, work)
@@ -184,11 +223,17 @@
 
     def _told(self, taken: Cost, fleet: Fleet, acked: Sequence[Acked]) -> dict[str, Any]:
         each = self.gateways
-        return {"change_sets": len(acked), "records": sum(len(one.rows) for one in acked), "seconds": taken.lasted,
-                "bytes_to_a_gateway": taken.came / each, "bytes_from_a_gateway": taken.went / each,
-                "bytes_a_second_a_gateway": (taken.came + taken.went) / each / taken.lasted,
-                "processor_s_a_gateway": taken.gateways_s / each, "processor_s_serving": taken.serving_s,
-                "spread": fleet.spread(acked)}
+        return {
+            "change_sets": len(acked),
+            "records": sum(len(one.rows) for one in acked),
+            "seconds": taken.lasted,
+            "bytes_to_a_gateway": taken.came / each,
+            "bytes_from_a_gateway": taken.went / each,
+            "bytes_a_second_a_gateway": (taken.came + taken.went) / each / taken.lasted,
+            "processor_s_a_gateway": taken.gateways_s / each,
+            "processor_s_serving": taken.serving_s,
+            "spread": fleet.spread(acked),
+        }
 
     async def _sets(self, fleet: Fleet, sets: Sequence[made.Change], operators: int) -> None:
         """Several operators at once, one after another each, until all is in force everywhere."""
@@ -200,6 +245,7 @@
                     await fleet.publish(left.pop())
             except RigError as error:
                 failed.append(error)
+
         async with trio.open_nursery() as nursery:
             for _ in range(operators):
                 nursery.start_soon(submit)
@@ -216,8 +262,11 @@
         bare, begun = memory(fleet.processes["lone"].pid)[0], fleet.served["lone"]
         await fleet.everywhere(wanted, sizes.spread)
         await trio.sleep(1.0)
-        told = {"one_alone_s": (fleet.reached["cold-0"][0].ms - begun) / 1000, "memory_bytes_with_nothing": bare,
-                "memory_bytes_with_the_state": memory(fleet.processes["lone"].pid)[0]}
+        told = {
+            "one_alone_s": (fleet.reached["cold-0"][0].ms - begun) / 1000,
+            "memory_bytes_with_nothing": bare,
+            "memory_bytes_with_the_state": memory(fleet.processes["lone"].pid)[0],
+        }
         names = [f"colds-{number}" for number in range(sizes.cold_processes)]
         for number, name in enumerate(names):
             fleet.hollow(name, range(1 + number, 1 + sizes.cold, sizes.cold_processes), cold=True)
@@ -232,11 +281,17 @@
                 fleet.read()
         after = fleet.taken()
         ready = sorted((fleet.reached[who][0].ms - begun) / 1000 for who in cold if fleet.at[who] >= wanted)
-        told |= {"gateways": len(cold), "ready": len(ready), "waited_s": (now_ms() - begun) / 1000,
-                 "median_s": ready[len(ready) // 2] if ready else None, "last_s": ready[-1] if ready else None,
-                 "processor_s_serving": sum(after[name]["processor_s"] - before[name]["processor_s"]
-                                            for name in after if name in before)}
-        for who in cold:    # one that has nothing yet is counted here, and has no end to be judged by
+        told |= {
+            "gateways": len(cold),
+            "ready": len(ready),
+            "waited_s": (now_ms() - begun) / 1000,
+            "median_s": ready[len(ready) // 2] if ready else None,
+            "last_s": ready[-1] if ready else None,
+            "processor_s_serving": sum(
+                after[name]["processor_s"] - before[name]["processor_s"] for name in after if name in before
+            ),
+        }
+        for who in cold:  # one that has nothing yet is counted here, and has no end to be judged by
             if fleet.at[who] == EMPTY:
                 del fleet.at[who]
         self.more["cold"] = told
@@ -257,8 +312,12 @@
     sizes = SMALL if small else Sizes()
     played = {gateways: Player(sizes, gateways, told).run() for gateways in reversed(sizes.gateways)}
     shape = sizes.shape
-    held = {"relays": shape.relays, "regions": shape.regions, "records": sum(shape.sizes),
-            "relay_egress": shape.relay_egress}
+    held = {
+        "relays": shape.relays,
+        "regions": shape.regions,
+        "records": sum(shape.sizes),
+        "relay_egress": shape.relay_egress,
+    }
 
     def single(one: Played, value: str) -> float:
         """Of one change."""
@@ -267,26 +326,51 @@
     rows: list[tuple[str, str, Callable[[Played], list[float]], str]] = [
         ("bytes to all a second, at rest", "bytes", lambda one: [one.rest.came / one.rest.seconds], "beats"),
         ("bytes from all a second, at rest", "bytes", lambda one: [one.rest.went / one.rest.seconds], ""),
-        ("processor seconds of all a second, at rest", "seconds",
-         lambda one: [one.rest.gateways_s / one.rest.seconds], "of hollow processes, their own reports included"),
-        ("processor seconds of publisher and relays a second, at rest", "seconds",
-         lambda one: [one.rest.serving_s / one.rest.seconds], ""),
+        (
+            "processor seconds of all a second, at rest",
+            "seconds",
+            lambda one: [one.rest.gateways_s / one.rest.seconds],
+            "of hollow processes, their own reports included",
+        ),
+        (
+            "processor seconds of publisher and relays a second, at rest",
+            "seconds",
+            lambda one: [one.rest.serving_s / one.rest.seconds],
+            "",
+        ),
         ("bytes to all for a change", "bytes", lambda one: [single(one, "came")], "of one record, beyond rest"),
         ("bytes from all for a change", "bytes", lambda one: [single(one, "went")], "beyond rest"),
         ("processor seconds of all for a change", "seconds", lambda one: [single(one, "gateways_s")], "beyond rest"),
-        ("processor seconds of publisher and relays for a change", "seconds",
-         lambda one: [single(one, "serving_s")], "beyond rest"),
+        (
+            "processor seconds of publisher and relays for a change",
+            "seconds",
+            lambda one: [single(one, "serving_s")],
+            "beyond rest",
+        ),
         ("seconds to everywhere, the last", "seconds", lambda one: one.lasts_s, "from acknowledged; one machine"),
         ("seconds to everywhere, the median", "seconds", lambda one: one.medians_s, "from acknowledged; one machine"),
     ]
-    measures = [Measure(f"control by gateways: {what}", unit, "gateways",
-                        [(gateways, values(played[gateways])) for gateways in sizes.gateways], held, note)
-                for what, unit, values, note in rows]
+    measures = [
+        Measure(
+            f"control by gateways: {what}",
+            unit,
+            "gateways",
+            [(gateways, values(played[gateways])) for gateways in sizes.gateways],
+            held,
+            note,
+        )
+        for what, unit, values, note in rows
+    ]
     largest = played[sizes.gateways[-1]]
     each = sizes.gateways[-1]
-    mean_day = {"bytes_a_second_a_gateway": (largest.rest.came + largest.rest.went) / largest.rest.seconds / each
-                + (single(largest, "came") + single(largest, "went")) * A_DAY / DAY / each,
-                "processor_part_of_a_core_a_gateway": largest.rest.gateways_s / largest.rest.seconds / each
-                + single(largest, "gateways_s") * A_DAY / DAY / each}
-    return measures, {"python": sys.version.split()[0], "plays": {str(at): one.more for at, one in played.items()},
-                      "mean_day": mean_day}
+    mean_day = {
+        "bytes_a_second_a_gateway": (largest.rest.came + largest.rest.went) / largest.rest.seconds / each
+        + (single(largest, "came") + single(largest, "went")) * A_DAY / DAY / each,
+        "processor_part_of_a_core_a_gateway": largest.rest.gateways_s / largest.rest.seconds / each
+        + single(largest, "gateways_s") * A_DAY / DAY / each,
+    }
+    return measures, {
+        "python": sys.version.split()[0],
+        "plays": {str(at): one.more for at, one in played.items()},
+        "mean_day": mean_day,
+    }
--- a/oakfork/lab/scale/controlfaults.py
+++ b/oakfork/lab/scale/controlfaults.py
@@ -1,6 +1,7 @@
 """Group "faults": the control part at its full size through faults that a seed draws, judged by the witness apart: a
 relay killed, one stopped for 20 s, the publisher killed twice, connections ended in a frame, a region cut and healed.
 """
+
 import sys
 from typing import Any, Callable
 
--- a/oakfork/lab/scale/fleetplay.py
+++ b/oakfork/lab/scale/fleetplay.py
@@ -1,6 +1,7 @@
 """A publisher, relays and processes of hollow gateways on loopback: started, loaded with change sets, struck by faults
 that a seed draws, watched and ended. fleetwitness.py judges. Every wait is bounded, nothing is left running.
 """
+
 import json
 import random
 import signal
@@ -27,9 +28,9 @@
 from oakfork.lab.scale.process import memory, processor_seconds
 from oakfork.lab.scale.ways import Way
 
-START, END = 90.0, 15.0     # seconds until all have begun, until all have ended
-PATIENCE = 60.0             # for a verdict, also with the publisher killed and started again
-LOST = 4.0                  # for a change set to be in force somewhere whose answer is swallowed
+START, END = 90.0, 15.0  # seconds until all have begun, until all have ended
+PATIENCE = 60.0  # for a verdict, also with the publisher killed and started again
+LOST = 4.0  # for a change set to be in force somewhere whose answer is swallowed
 PUBLISHER = "publisher"
 KINDS = ("kill relay", "stop relay", "kill publisher", "lose answer", "end in a frame", "cut region")
 
@@ -37,13 +38,14 @@
 class Shape(NamedTuple):
     """Of a fleet. The publisher's egress is above the default so that a play's relays, which begin with nothing, have
     the state soon."""
+
     sizes: made.Sizes = made.SMALL
     gateways: int = 60
     processes: int = 2
     relays: int = 3
     regions: int = 2
     publisher_egress: int = 50_000_000
-    relay_egress: int = EGRESS      # bytes a second
+    relay_egress: int = EGRESS  # bytes a second
 
 
 FULL = Shape(made.FULL, 2_700, 5, 12, 7)
@@ -51,6 +53,7 @@
 
 class Fault(NamedTuple):
     """Times in seconds; `whom`: a relay or region, where that matters."""
+
     at: float
     kind: str
     whom: int
@@ -73,21 +76,21 @@
     def __init__(self, folder: Path, shape: Shape, seed: int) -> None:
         self.folder, self.shape, self.seed = folder, shape, seed
         self.processes: dict[str, subprocess.Popen] = {}
-        self.files: dict[str, tuple[Any, bytes]] = {}       # what hollow processes tell, and the line that is coming
-        self.followers: dict[str, list[str]] = {}           # by process, in its order
+        self.files: dict[str, tuple[Any, bytes]] = {}  # what hollow processes tell, and the line that is coming
+        self.followers: dict[str, list[str]] = {}  # by process, in its order
         self.reached: dict[str, list[Reached]] = {}
         self.at: dict[str, Position] = {}
         self.marks: dict[str, list[dict[str, float]]] = {}  # by process
-        self.served: dict[str, int] = {}                    # by process, when it began, as now_ms()
+        self.served: dict[str, int] = {}  # by process, when it began, as now_ms()
         self.ends: dict[str, End] = {}
-        self.told: list[dict[str, Any]] = []                # the last line of each process
+        self.told: list[dict[str, Any]] = []  # the last line of each process
         self.acked: list[Acked] = []
-        self.doomed: list[Fault] = []                       # of the publisher, for the next change sets
-        self.log: list[str] = []                            # what was done
+        self.doomed: list[Fault] = []  # of the publisher, for the next change sets
+        self.log: list[str] = []  # what was done
         self.start_at = EMPTY
         places = free_places(1 + shape.relays, socket.SOCK_STREAM)
         self.publisher, self.relays = places[0], places[1:]
-        self.ways: dict[tuple[int, int], Way] = {}          # from a relay to another one, or the publisher: -1
+        self.ways: dict[tuple[int, int], Way] = {}  # from a relay to another one, or the publisher: -1
         self.operator: Way | None = None
         self.nursery: trio.Nursery | None = None
 
@@ -102,7 +105,7 @@
                     await self._begin()
                     result = await play(self)
                     await self.end()
-                except (RigError, PublisherSilent) as error:    # by itself, not inside the nursery's group
+                except (RigError, PublisherSilent) as error:  # by itself, not inside the nursery's group
                     failed = error
                 self.nursery.cancel_scope.cancel()
         finally:
@@ -124,8 +127,9 @@
         for number in range(shape.relays):
             for other in self._upstreams(number):
                 self.ways[number, other] = await self._way(self.publisher if other < 0 else self.relays[other])
-        self._write(PUBLISHER, "here", self.publisher, shape.publisher_egress,
-                    database=str(self.folder / "control.sqlite"))
+        self._write(
+            PUBLISHER, "here", self.publisher, shape.publisher_egress, database=str(self.folder / "control.sqlite")
+        )
         self.start(PUBLISHER)
         position = Position(*(await client.status(text(self.publisher), START))["position"])
         for number, place in enumerate(self.relays):
@@ -156,9 +160,17 @@
         return [-1, (region + 1) % shape.regions] if shape.regions > 1 else [-1]
 
     def _write(self, name: str, region: str, listen: tuple[str, int], egress: int, **more: Any) -> None:
-        (self.folder / f"{name}.toml").write_bytes(tomli_w.dumps({
-            "name": name, "region": region, "listen": text(listen), **more,
-            "bounds": {"egress_bytes_per_s": egress}}).encode())
+        (self.folder / f"{name}.toml").write_bytes(
+            tomli_w.dumps(
+                {
+                    "name": name,
+                    "region": region,
+                    "listen": text(listen),
+                    **more,
+                    "bounds": {"egress_bytes_per_s": egress},
+                }
+            ).encode()
+        )
 
     def start(self, name: str) -> None:
         """The publisher or a relay, by its file."""
@@ -166,27 +178,45 @@
         with open(self.folder / f"{name}.log", "ab") as log:
             self.processes[name] = subprocess.Popen(
                 [sys.executable, "-m", "oakfork.control.command", kind, str(self.folder / f"{name}.toml")],
-                stdin=subprocess.DEVNULL, stdout=log, stderr=log)
+                stdin=subprocess.DEVNULL,
+                stdout=log,
+                stderr=log,
+            )
 
     def relays_of(self, gateway: int) -> list[int]:
         """Its own, and another one, of its region where that has two."""
         shape, home = self.shape, gateway % self.shape.relays
-        others = [relay for relay in range(shape.relays) if relay != home and
-                  (relay - home) % shape.regions == 0] or [(home + 1) % shape.relays]
+        others = [relay for relay in range(shape.relays) if relay != home and (relay - home) % shape.regions == 0] or [
+            (home + 1) % shape.relays
+        ]
         return [home, others[gateway // shape.relays % len(others)]]
 
     def hollow(self, name: str, gateways: Sequence[int], cold: bool = False) -> None:
         """A process of hollow ones; its first one keeps records. They follow as `relays_of` says."""
         who = [f"{'cold' if cold else 'gateway'}-{gateway}" for gateway in gateways]
-        config = {"sizes": self.shape.sizes, "start": self.start_at, "followers": [
-            {"who": one, "relays": [text(self.relays[relay]) for relay in self.relays_of(gateway)],
-             "seed": self.seed * 10_000 + gateway, "cold": cold, "full": number == 0}
-            for number, (one, gateway) in enumerate(zip(who, gateways, strict=True))]}
+        config = {
+            "sizes": self.shape.sizes,
+            "start": self.start_at,
+            "followers": [
+                {
+                    "who": one,
+                    "relays": [text(self.relays[relay]) for relay in self.relays_of(gateway)],
+                    "seed": self.seed * 10_000 + gateway,
+                    "cold": cold,
+                    "full": number == 0,
+                }
+                for number, (one, gateway) in enumerate(zip(who, gateways, strict=True))
+            ],
+        }
         path = self.folder / f"{name}.json"
         path.write_text(json.dumps(config))
         with open(path.with_suffix(".told"), "wb") as told, open(path.with_suffix(".log"), "wb") as log:
-            self.processes[name] = subprocess.Popen([sys.executable, "-m", "oakfork.lab.scale.hollow", str(path)],
-                                                    stdin=subprocess.DEVNULL, stdout=told, stderr=log)
+            self.processes[name] = subprocess.Popen(
+                [sys.executable, "-m", "oakfork.lab.scale.hollow", str(path)],
+                stdin=subprocess.DEVNULL,
+                stdout=told,
+                stderr=log,
+            )
         self.files[name] = (open(path.with_suffix(".told"), "rb"), b"")
         self.followers[name] = who
         self.at |= dict.fromkeys(who, EMPTY)
@@ -248,10 +278,18 @@
             for reason, count in told["counts"].items():
                 counts[reason] = counts.get(reason, 0) + count
         self.counts = counts
-        return fleetwitness.judge(fleetwitness.Seen(
-            made.base(self.shape.sizes), self.start_at.number, self.acked, self.reached,
-            {who: end for who, end in self.ends.items() if who in self.at}, list(self.at),
-            sum(told["half"] for told in self.told), sum(told["conflicts"] for told in self.told)))
+        return fleetwitness.judge(
+            fleetwitness.Seen(
+                made.base(self.shape.sizes),
+                self.start_at.number,
+                self.acked,
+                self.reached,
+                {who: end for who, end in self.ends.items() if who in self.at},
+                list(self.at),
+                sum(told["half"] for told in self.told),
+                sum(told["conflicts"] for told in self.told),
+            )
+        )
 
     def spread(self, acked: Sequence[Acked], who: Sequence[str] | None = None) -> dict[str, float]:
         """Milliseconds from acknowledged to in force, over all change sets and followers: median, 99 in 100, the
@@ -266,13 +304,20 @@
                     found.append(max(0, reached[place].ms - each.ms))
         if not found:
             return {}
-        return {"median_ms": float(numpy.median(found)), "p99_ms": float(numpy.percentile(found, 99)),
-                "last_ms": float(max(found)), "values": len(found)}
+        return {
+            "median_ms": float(numpy.median(found)),
+            "p99_ms": float(numpy.percentile(found, 99)),
+            "last_ms": float(max(found)),
+            "values": len(found),
+        }
 
     def taken(self) -> dict[str, dict[str, float]]:
         """Processor seconds and bytes of memory of the publisher and each relay, so far."""
-        return {name: {"processor_s": processor_seconds(process.pid), "memory_bytes": memory(process.pid)[0]}
-                for name, process in self.processes.items() if name not in self.files and process.poll() is None}
+        return {
+            name: {"processor_s": processor_seconds(process.pid), "memory_bytes": memory(process.pid)[0]}
+            for name, process in self.processes.items()
+            if name not in self.files and process.poll() is None
+        }
 
     # What is done
 
@@ -284,7 +329,7 @@
             if self.doomed:
                 nursery.start_soon(self._doom, self.doomed.pop(0))
                 await trio.lowlevel.checkpoint()
-            try:    # by itself, not inside the nursery's group
+            try:  # by itself, not inside the nursery's group
                 verdict, ms = await client.publish(self.operator.place, change.id, change.file, PATIENCE), now_ms()
             except PublisherSilent as error:
                 failed = error
@@ -304,12 +349,12 @@
                     await trio.sleep(0.02)
                     self.read()
         else:
-            await trio.sleep(fault.lasts / 100)     # to 15 ms
+            await trio.sleep(fault.lasts / 100)  # to 15 ms
         await self.kill(PUBLISHER)
         self.operator.mute = False
         await trio.sleep(fault.lasts)
         self.start(PUBLISHER)
-        with suppress(PublisherSilent):     # which the next change set tells
+        with suppress(PublisherSilent):  # which the next change set tells
             await client.status(text(self.publisher), START)
 
     async def kill(self, name: str) -> None:
@@ -336,8 +381,11 @@
                 way.tears = 1
         else:
             region = self.shape.regions
-            ways = [way for (relay, other), way in self.ways.items()
-                    if (relay % region == fault.whom) != (other >= 0 and other % region == fault.whom)]
+            ways = [
+                way
+                for (relay, other), way in self.ways.items()
+                if (relay % region == fault.whom) != (other >= 0 and other % region == fault.whom)
+            ]
             for way in ways:
                 way.shut()
             await trio.sleep(fault.lasts)
@@ -354,6 +402,7 @@
                     await trio.sleep_until(begun + fault.at)
                     nursery.start_soon(self.strike, fault)
             done.set()
+
         failed = None
         async with trio.open_nursery() as nursery:
             nursery.start_soon(strike_all)
--- a/oakfork/lab/scale/fleetwitness.py
+++ b/oakfork/lab/scale/fleetwitness.py
@@ -1,16 +1,18 @@
 """Judges a play of publisher, relays and hollow gateways from outside: by what operators were answered and by what the
 followers told, with its own reckoning of digests (docs/control.md has how they are made). Imports no machine.
 """
+
 from hashlib import blake2b
 from typing import Iterable, Mapping, NamedTuple, Sequence
 
 from oakfork.control.messages import Position, Row
 
-MOST = 32       # faults told
+MOST = 32  # faults told
 
 
 class Acked(NamedTuple):
     """A change set that the publisher said is in force, and when the operator heard so (CLOCK_MONOTONIC)."""
+
     id: str
     position: Position
     ms: int
@@ -19,6 +21,7 @@
 
 class Reached(NamedTuple):
     """What a follower told when it had a position in force."""
+
     position: Position
     ms: int
     digest: int
@@ -26,6 +29,7 @@
 
 class End(NamedTuple):
     """Where a follower was in the end; `brute`: the digest of its records one by one, where it keeps any."""
+
     position: Position
     digest: int
     brute: int | None
@@ -34,8 +38,9 @@
 class Seen(NamedTuple):
     """All that is known of a play. `half`: times that a change set was seen in half; `conflicts`: times that two
     followers of one process were told different values of one position."""
+
     base: Iterable[Row]
-    start: int                          # the number at which all is as in `base`
+    start: int  # the number at which all is as in `base`
     acked: Sequence[Acked]
     reached: Mapping[str, Sequence[Reached]]
     ends: Mapping[str, End]
@@ -71,8 +76,10 @@
     faults: list[str] = []
     numbers = sorted(one.position.number for one in seen.acked)
     if numbers != list(range(seen.start + 1, seen.start + 1 + len(numbers))):
-        faults.append(f"numbers of what was acknowledged are not one after another from {seen.start + 1}: "
-                      f"{numbers[:8]} to {numbers[-1:]}, {len(numbers)} of them")
+        faults.append(
+            f"numbers of what was acknowledged are not one after another from {seen.start + 1}: "
+            f"{numbers[:8]} to {numbers[-1:]}, {len(numbers)} of them"
+        )
     if len({one.id for one in seen.acked}) < len(seen.acked):
         faults.append("an id was acknowledged twice")
     right = expected(seen.base, seen.start, seen.acked)
@@ -91,8 +98,10 @@
         if (end := seen.ends.get(who)) is None:
             faults.append(f"{who} told no end")
         elif end.position.number != last or end.digest != right[last]:
-            faults.append(f"{who} ended at {tuple(end.position)}, {last} was acknowledged, "
-                          f"with {'the' if end.digest == right[last] else 'another'} state of that")
+            faults.append(
+                f"{who} ended at {tuple(end.position)}, {last} was acknowledged, "
+                f"with {'the' if end.digest == right[last] else 'another'} state of that"
+            )
         elif end.brute not in (None, end.digest):
             faults.append(f"{who} has records that are not those of its digest")
     if len({end.position for end in seen.ends.values()}) > 1:
--- a/oakfork/lab/scale/frames.py
+++ b/oakfork/lab/scale/frames.py
@@ -4,6 +4,7 @@
 counts are the same on any machine. Where a whole tier of modules would take too long, one module talks to scripted
 peers, which answer as oakfork/brain/links.py and quotas.py do: a greeting with an empty frame, an ask with a yes.
 """
+
 import random
 import sys
 from dataclasses import dataclass
@@ -22,35 +23,61 @@
 GATEWAYS = (3, 30, 300, 1000, 2700)
 RATES = (10, 30, 60, 118, 240)  # 118: 320,000 RPCs a second over 2,700 gateways, had each to ask
 SEEDS = (1, 2, 3)
-WHOLE = 300             # gateways up to which the others are modules too; beyond that they are scripted
+WHOLE = 300  # gateways up to which the others are modules too; beyond that they are scripted
 CUSTOMERS = 59_000
 SERVERS = 4
-MAIL_PER_S = 100.0      # frames that a gateway takes in: docs/lab.md's default
-WINDOW = 60             # seconds that are counted
-SILENT_WINDOW = 64      # four greetings to one that never answers, 16 s apart
-DELAY = 50              # of a frame, one way
-LATENCY = 200           # of a call-out
+MAIL_PER_S = 100.0  # frames that a gateway takes in: docs/lab.md's default
+WINDOW = 60  # seconds that are counted
+SILENT_WINDOW = 64  # four greetings to one that never answers, 16 s apart
+DELAY = 50  # of a frame, one way
+LATENCY = 200  # of a call-out
 
 
 def settings(gateways: int, index: int = 0) -> dict[str, Any]:
     """A deployment's settings in the operators' form (docs/configuration.md): three methods, one plan."""
-    def method(name: str, effect: str) -> dict[str, Any]:
-        return {"name": name, "aim-ms": 1000.0, "deadline-ms": 2000.0, "effect": effect, "group": "cell",
-                "key-ttl-ms": 5000.0, "value": 1.0, "late-worth": 0.0, "streamed": False}
 
-    return {"balancers": gateways, "index": index, "zones": list(ZONES), "zone": 0, "tick-ms": 4.0,
-            "discovery": "automatic",
-            "classes": [method("read", "read_like"), method("seal", "idempotency_key"), method("hand", "unsafe")],
-            "tiers-of-service": [{"name": "basic", "refill": 100.0, "peak-units": 200.0}],
-            "limits": {"attempts-cap": 4, "cancel": True, "parallel-tries": True, "peers": gateways > 1,
-                       "probing": False, "retry-after": True, "conn-idle-ms": 15000.0, "connect-timeout-ms": 250.0},
-            "specifics": {"mail-per-s": MAIL_PER_S, "units-top": 2},
-            "invariants": {"stop-sending-within-ms": 500.0}, "stats": {"how": "off", "names": []}}
+    def method(name: str, effect: str) -> dict[str, Any]:
+        return {
+            "name": name,
+            "aim-ms": 1000.0,
+            "deadline-ms": 2000.0,
+            "effect": effect,
+            "group": "cell",
+            "key-ttl-ms": 5000.0,
+            "value": 1.0,
+            "late-worth": 0.0,
+            "streamed": False,
+        }
+
+    return {
+        "balancers": gateways,
+        "index": index,
+        "zones": list(ZONES),
+        "zone": 0,
+        "tick-ms": 4.0,
+        "discovery": "automatic",
+        "classes": [method("read", "read_like"), method("seal", "idempotency_key"), method("hand", "unsafe")],
+        "tiers-of-service": [{"name": "basic", "refill": 100.0, "peak-units": 200.0}],
+        "limits": {
+            "attempts-cap": 4,
+            "cancel": True,
+            "parallel-tries": True,
+            "peers": gateways > 1,
+            "probing": False,
+            "retry-after": True,
+            "conn-idle-ms": 15000.0,
+            "connect-timeout-ms": 250.0,
+        },
+        "specifics": {"mail-per-s": MAIL_PER_S, "units-top": 2},
+        "invariants": {"stop-sending-within-ms": 500.0},
+        "stats": {"how": "off", "names": []},
+    }
 
 
 @dataclass(slots=True)
 class Traffic:
     """Datagrams and their payload in bytes."""
+
     frames: int = 0
     payload: int = 0
 
@@ -70,9 +97,9 @@
         self.gateways, self.seed, self.scripted = gateways, seed, scripted
         self.loop = Loop()
         self.brains: dict[int, Brain] = {}
-        self.numbers = [0] * gateways       # frames sent by scripted peers
+        self.numbers = [0] * gateways  # frames sent by scripted peers
         self.sent, self.received = Traffic(), Traffic()
-        self.asked = self.ok = self.not_sent_on = 0     # RPCs of gateway 0
+        self.asked = self.ok = self.not_sent_on = 0  # RPCs of gateway 0
 
     def start(self, index: int = 0) -> None:
         """Starts a gateway, or starts it anew: its earlier life's timers are void."""
@@ -130,8 +157,9 @@
         """A frame of a scripted peer, which knew an earlier life of the other."""
         self.numbers[peer] = self.numbers[peer] + 1 & 0xFFFF
         packed = [wire.pack_item(item) for item in items]
-        self._tell(peer, to, wire.pack(1 + peer, to_life, self.numbers[peer], self.loop.now // 10, packed, True,
-                                       wire.VERSION))
+        self._tell(
+            peer, to, wire.pack(1 + peer, to_life, self.numbers[peer], self.loop.now // 10, packed, True, wire.VERSION)
+        )
 
     # RPCs of gateway 0, and asks to it
 
@@ -160,7 +188,7 @@
     if whole:
         for index in range(gateways):
             network.start(index)
-        network.run(5 + gateways / MAIL_PER_S / 0.9)    # all have met
+        network.run(5 + gateways / MAIL_PER_S / 0.9)  # all have met
     network.count_anew()
     network.start()
     return network
@@ -179,28 +207,53 @@
         at, came = (begun + dice.randrange(seconds * SECOND) for _ in range(2))
         network.loop.at(at, Kind.CLIENT, network.ask, dice.choice(others))
         network.loop.at(came, Kind.CLIENT, network.serve, dice.randrange(1, gateways), number, dice.choice(own))
-    network.run(seconds + 1)    # the last answers too
+    network.run(seconds + 1)  # the last answers too
     return network
 
 
-def _measures(name: str, unit: str, by: str, points: list[tuple[float, list[Traffic]]], per: int,
-              held: dict[str, Any], note: str, end: str = "") -> list[Measure]:
+def _measures(
+    name: str,
+    unit: str,
+    by: str,
+    points: list[tuple[float, list[Traffic]]],
+    per: int,
+    held: dict[str, Any],
+    note: str,
+    end: str = "",
+) -> list[Measure]:
     """Bytes of payload, bytes with headers, and frames, each divided by `per` seconds where that isn't 1."""
+
     def values(of: Callable[[Traffic], int]) -> list[tuple[float, list[float]]]:
         return [(size, [of(one) / per for one in traffic]) for size, traffic in points]
 
-    return [Measure(f"{name}: bytes{unit}{end}", f"bytes{unit}", by, values(lambda one: one.payload), held,
-                    f"payload of the datagrams; {note}"),
-            Measure(f"{name}: bytes{unit}{end}, with headers", f"bytes{unit}", by,
-                    values(lambda one: one.with_headers), held, f"{HEADERS} bytes of IPv4 and UDP a datagram; {note}"),
-            Measure(f"{name}: frames{unit}{end}", f"frames{unit}", by, values(lambda one: one.frames), held, note)]
+    return [
+        Measure(
+            f"{name}: bytes{unit}{end}",
+            f"bytes{unit}",
+            by,
+            values(lambda one: one.payload),
+            held,
+            f"payload of the datagrams; {note}",
+        ),
+        Measure(
+            f"{name}: bytes{unit}{end}, with headers",
+            f"bytes{unit}",
+            by,
+            values(lambda one: one.with_headers),
+            held,
+            f"{HEADERS} bytes of IPv4 and UDP a datagram; {note}",
+        ),
+        Measure(f"{name}: frames{unit}{end}", f"frames{unit}", by, values(lambda one: one.frames), held, note),
+    ]
 
 
 def _starts(told: Callable[[str], None], sizes: Sequence[int], held: dict[str, Any], whole: int) -> list[Measure]:
     kept: dict[str, list[tuple[float, list[Traffic]]]] = {name: [] for name in ("silent", "quiet", "met", "rest")}
     for size in sizes:
-        for network, start, rest, seconds in ((none_replies(size), "silent", "quiet", SILENT_WINDOW),
-                                              (all_reply(size, size <= whole), "met", "rest", WINDOW)):
+        for network, start, rest, seconds in (
+            (none_replies(size), "silent", "quiet", SILENT_WINDOW),
+            (all_reply(size, size <= whole), "met", "rest", WINDOW),
+        ):
             network.run(WINDOW)
             kept[start].append((size, [network.sent]))
             network.count_anew()
@@ -211,12 +264,34 @@
     by = "gateways"
     groups = [
         _measures("start by gateways, none replies", "", by, kept["silent"], 1, held, first),
-        _measures("start by gateways, all reply", "", by, kept["met"], 1, held,
-                  f"{first}, among others that knew its earlier one; {others}"),
-        _measures("rest by gateways", " a second", by, kept["rest"], WINDOW, held,
-                  f"sent by one gateway in the {WINDOW} s after that, with no RPC; {others}"),
-        _measures("rest by gateways, none replies", " a second", by, kept["quiet"], SILENT_WINDOW, held,
-                  f"greetings sent by one gateway in the {SILENT_WINDOW} s after its first {WINDOW}")]
+        _measures(
+            "start by gateways, all reply",
+            "",
+            by,
+            kept["met"],
+            1,
+            held,
+            f"{first}, among others that knew its earlier one; {others}",
+        ),
+        _measures(
+            "rest by gateways",
+            " a second",
+            by,
+            kept["rest"],
+            WINDOW,
+            held,
+            f"sent by one gateway in the {WINDOW} s after that, with no RPC; {others}",
+        ),
+        _measures(
+            "rest by gateways, none replies",
+            " a second",
+            by,
+            kept["quiet"],
+            SILENT_WINDOW,
+            held,
+            f"greetings sent by one gateway in the {SILENT_WINDOW} s after its first {WINDOW}",
+        ),
+    ]
     for group in groups:
         for one in group:
             told(one.name)
@@ -231,10 +306,17 @@
     held = {"mail_per_s": MAIL_PER_S, "servers": SERVERS, "frame_ms": DELAY / 10, "frames_lost": 0, "probes": False}
     measures = _starts(told, sizes, held, whole)
     played = [(rate, [asks(rate, gateways, customers, seconds, seed) for seed in seeds]) for rate in rates]
-    held = held | {"gateways": gateways, "customers": customers, "spread": gateways, "plan": "rate only",
-             "call_out_ms": LATENCY / 10}
-    note = ("one gateway asks so many times a second and is asked as often, all yes; owners by hash over all gateways; "
-            "peers are scripted; frames beyond mail_per_s are taken in too; no probes' readings, releases or returns")
+    held = held | {
+        "gateways": gateways,
+        "customers": customers,
+        "spread": gateways,
+        "plan": "rate only",
+        "call_out_ms": LATENCY / 10,
+    }
+    note = (
+        "one gateway asks so many times a second and is asked as often, all yes; owners by hash over all gateways; "
+        "peers are scripted; frames beyond mail_per_s are taken in too; no probes' readings, releases or returns"
+    )
     for way in ("sent", "received"):
         points = [(rate, [getattr(network, way) for network in networks]) for rate, networks in played]
         asked = _measures("asks by rate", " a second", "rate", points, seconds, held, note, f" {way}")
@@ -242,6 +324,11 @@
             told(one.name)
         measures += asked
     every = [network for _, networks in played for network in networks]
-    return measures, {"python": sys.version.split()[0], "mail_per_s": MAIL_PER_S, "seeds": list(seeds),
-                      "rpcs": sum(network.asked for network in every), "rpcs_ok": sum(network.ok for network in every),
-                      "rpcs_not_sent_on": sum(network.not_sent_on for network in every)}
+    return measures, {
+        "python": sys.version.split()[0],
+        "mail_per_s": MAIL_PER_S,
+        "seeds": list(seeds),
+        "rpcs": sum(network.asked for network in every),
+        "rpcs_ok": sum(network.ok for network in every),
+        "rpcs_not_sent_on": sum(network.not_sent_on for network in every),
+    }
--- a/oakfork/lab/scale/hollow.py
+++ b/oakfork/lab/scale/hollow.py
@@ -6,6 +6,7 @@
 what came into force where and when (CLOCK_MONOTONIC, the same for all processes of the machine), bytes and processor
 time each second, and in the end (SIGTERM) the positions, digests and counts.
 """
+
 import json
 import logging
 import signal
@@ -28,12 +29,13 @@
 from oakfork.control.state import Records, Store, range_of, record_digest, whole
 from oakfork.lab.scale import made
 
-TOLD_EVERY, MARKED_EVERY = 0.2, 1.0     # seconds
-LOOKS = 200         # at the pair after each change set, a turn of others between two
+TOLD_EVERY, MARKED_EVERY = 0.2, 1.0  # seconds
+LOOKS = 200  # at the pair after each change set, a turn of others between two
 
 
 class One(msgspec.Struct):
     """A follower. `cold`: it begins with nothing."""
+
     who: str
     relays: list[str]
     seed: int
@@ -43,7 +45,7 @@
 
 class Config(msgspec.Struct):
     sizes: made.Sizes
-    start: Position         # where those that aren't cold stand, with the state of `made`
+    start: Position  # where those that aren't cold stand, with the state of `made`
     followers: list[One]
 
 
@@ -53,8 +55,8 @@
 
     def __init__(self, base: Mapping[Key, bytes], at: Position) -> None:
         self.base, self.at = base, at
-        self.later: dict[Key, list[tuple[Position, bytes | None]]] = {}     # grows with the change sets of a play
-        self.conflicts = 0      # two told different values of one position
+        self.later: dict[Key, list[tuple[Position, bytes | None]]] = {}  # grows with the change sets of a play
+        self.conflicts = 0  # two told different values of one position
 
     def value(self, key: Key, position: Position) -> bytes | None:
         for there, value in reversed(self.later.get(key, ())):
@@ -102,7 +104,7 @@
             yield (number, kind, name) if number in ranges and self.value(kind, name) is not None else None
 
     def commit(self, changes: Mapping[Key, bytes | None], sums: array) -> None:
-        position = self.follower.position       # the new one already
+        position = self.follower.position  # the new one already
         if self.position > EMPTY or not self.values.begin(changes, position):
             for key, value in changes.items():
                 self.values.put(key, position, value)
@@ -153,13 +155,14 @@
     def __init__(self, config: Config) -> None:
         self.config, self.tally = config, Counter()
         self.engines: list[CountedEngine] = []
-        self.reached: list[list[int]] = []      # follower, term, number, ms, digest; emptied by telling
-        self.half = 0                           # times that the pair was seen unequal
+        self.reached: list[list[int]] = []  # follower, term, number, ms, digest; emptied by telling
+        self.half = 0  # times that the pair was seen unequal
         self.looks = 0
         log = structlog.wrap_logger(
-            structlog.PrintLogger(sys.stderr), processors=[structlog.processors.format_exc_info,
-                                                           structlog.processors.JSONRenderer()],
-            wrapper_class=structlog.make_filtering_bound_logger(logging.WARNING))
+            structlog.PrintLogger(sys.stderr),
+            processors=[structlog.processors.format_exc_info, structlog.processors.JSONRenderer()],
+            wrapper_class=structlog.make_filtering_bound_logger(logging.WARNING),
+        )
         needed = any(not one.cold and not one.full for one in config.followers)
         filled = made.store(config.sizes) if needed else Records()
         base = {(kind, name): value for kind in Kind for name, value in filled.records[kind].items()}
@@ -184,6 +187,7 @@
             self.reached.append([number, *command.position, now_ms(), machine.digest])
             if isinstance(machine.store, Records):
                 self.looks = LOOKS
+
         return told
 
     async def run(self) -> None:
@@ -201,10 +205,17 @@
                     break
                 nursery.cancel_scope.cancel()
         self._flush()
-        tell({"end": [[*engine.machine.position, engine.machine.digest, _brute(engine.machine.store)]
-                      for engine in self.engines],
-              "half": self.half, "conflicts": self.values.conflicts,
-              "counts": dict(sum((engine.counts for engine in self.engines), Counter()))})
+        tell(
+            {
+                "end": [
+                    [*engine.machine.position, engine.machine.digest, _brute(engine.machine.store)]
+                    for engine in self.engines
+                ],
+                "half": self.half,
+                "conflicts": self.values.conflicts,
+                "counts": dict(sum((engine.counts for engine in self.engines), Counter())),
+            }
+        )
 
     def _flush(self) -> None:
         if self.reached:
@@ -238,8 +249,15 @@
     if not isinstance(store, Records):
         return None
     store.fold()
-    return whole(array("Q", [sum(record_digest(kind, name, value) for name, value in store.records[kind].items())
-                             % (1 << 64) for kind in Kind]))
+    return whole(
+        array(
+            "Q",
+            [
+                sum(record_digest(kind, name, value) for name, value in store.records[kind].items()) % (1 << 64)
+                for kind in Kind
+            ],
+        )
+    )
 
 
 if __name__ == "__main__":
--- a/oakfork/lab/scale/made.py
+++ b/oakfork/lab/scale/made.py
@@ -3,6 +3,7 @@
 No value comes twice and no name is dropped twice: what hollow followers share (hollow.py) rests on that. Each change
 set that is `paired` also puts two tenants of equal records, so that half a change set shows.
 """
+
 import json
 import random
 from pathlib import Path
@@ -14,10 +15,10 @@
 from oakfork.control.store import Database
 
 NAMES = {Kind.SERVICE: "services", Kind.SERVER: "servers", Kind.ROUTE: "routes", Kind.TENANT: "tenants"}
-ZONES = 16              # 41,000 servers in them are 2,562 a zone
-ZONE = 2_560            # servers of a zone that go or come back at once
-AT_ONCE = 4_096         # rows of a set that are stored at once
-SERVERS_A_SET = 1_000   # put by one change file: a file has 255 KB
+ZONES = 16  # 41,000 servers in them are 2,562 a zone
+ZONE = 2_560  # servers of a zone that go or come back at once
+AT_ONCE = 4_096  # rows of a set that are stored at once
+SERVERS_A_SET = 1_000  # put by one change file: a file has 255 KB
 PAIR = ("pair-a", "pair-b")
 BEGUN_MS = 1_700_000_000_000
 
@@ -28,7 +29,7 @@
     servers: int
     services: int
     routes: int
-    tenants: int        # two of them the pair
+    tenants: int  # two of them the pair
 
 
 SMALL = Sizes(400, 20, 580, 500)
@@ -37,31 +38,55 @@
 
 class Change(NamedTuple):
     """A change set: its id, its file, and the rows that it comes to."""
+
     id: str
     file: bytes
     rows: tuple[Row, ...]
 
 
 def service(number: int) -> Item:
-    return {"name": f"service-{number}", "methods": [
-        {"name": "read", "aim_ms": 100, "deadline_ms": 400},
-        {"name": "write", "aim_ms": 250, "deadline_ms": 1000, "effect": "idempotency_key"}]}
+    return {
+        "name": f"service-{number}",
+        "methods": [
+            {"name": "read", "aim_ms": 100, "deadline_ms": 400},
+            {"name": "write", "aim_ms": 250, "deadline_ms": 1000, "effect": "idempotency_key"},
+        ],
+    }
 
 
 def server(sizes: Sizes, number: int, serial: int = 0) -> Item:
-    return {"id": f"s{number:05}", "addr": f"10.{number >> 16}.{number >> 8 & 255}.{number & 255}:8080",
-            "zone": f"zone-{number % ZONES}", "kind": "large", "cell": number % 8, "state": "up", "weight": 1,
-            "started_ms": BEGUN_MS + serial * 1000, "service": f"service-{number % sizes.services}"}
+    return {
+        "id": f"s{number:05}",
+        "addr": f"10.{number >> 16}.{number >> 8 & 255}.{number & 255}:8080",
+        "zone": f"zone-{number % ZONES}",
+        "kind": "large",
+        "cell": number % 8,
+        "state": "up",
+        "weight": 1,
+        "started_ms": BEGUN_MS + serial * 1000,
+        "service": f"service-{number % sizes.services}",
+    }
 
 
 def route(sizes: Sizes, number: int, serial: int = 0) -> Item:
-    return {"name": f"route-{number}", "host": f"h{number % 512}.example.org", "prefix": f"/p{number}/{serial}/",
-            "method": "", "service": f"service-{number % sizes.services}"}
+    return {
+        "name": f"route-{number}",
+        "host": f"h{number % 512}.example.org",
+        "prefix": f"/p{number}/{serial}/",
+        "method": "",
+        "service": f"service-{number % sizes.services}",
+    }
 
 
 def tenant(name: str, number: int, serial: int = 0) -> Item:
-    return {"id": name, "plan": ("basic", "plus", "large")[number % 3], "rate": 20, "burst": 40 + serial,
-            "first": number % 2_700, "spread": 2}
+    return {
+        "id": name,
+        "plan": ("basic", "plus", "large")[number % 3],
+        "rate": 20,
+        "burst": 40 + serial,
+        "first": number % 2_700,
+        "spread": 2,
+    }
 
 
 def tenant_name(number: int) -> str:
@@ -71,13 +96,28 @@
 def row(kind: Kind, item: Item) -> Row:
     """As the publisher is to read it."""
     if kind is Kind.SERVICE:
-        record: records.Record = records.Service(tuple(
-            records.Method(method["name"], method["aim_ms"], method["deadline_ms"],
-                           records.Effect[method.get("effect", "read_like").upper()]) for method in item["methods"]))
+        record: records.Record = records.Service(
+            tuple(
+                records.Method(
+                    method["name"],
+                    method["aim_ms"],
+                    method["deadline_ms"],
+                    records.Effect[method.get("effect", "read_like").upper()],
+                )
+                for method in item["methods"]
+            )
+        )
     elif kind is Kind.SERVER:
-        record = records.Server(records.packed_address(item["addr"]), item["zone"], item["kind"], item["cell"],
-                                records.State[item["state"].upper()], item["weight"], item["started_ms"],
-                                item["service"])
+        record = records.Server(
+            records.packed_address(item["addr"]),
+            item["zone"],
+            item["kind"],
+            item["cell"],
+            records.State[item["state"].upper()],
+            item["weight"],
+            item["started_ms"],
+            item["service"],
+        )
     elif kind is Kind.ROUTE:
         record = records.Route(item["host"], item["prefix"], item["service"], item["method"])
     else:
@@ -114,7 +154,7 @@
     try:
         term = database.begin_term()
         for number, start in enumerate(range(0, len(rows), AT_ONCE), 1):
-            part = rows[start:start + AT_ONCE]
+            part = rows[start : start + AT_ONCE]
             changes = as_changes(part)
             made.commit(changes, summed(made, changes))
             made.fold()
@@ -132,7 +172,7 @@
     def __init__(self, sizes: Sizes, seed: int, paired: bool = False) -> None:
         self.sizes, self.chance, self.paired = sizes, random.Random(seed), paired
         self.serial = 0
-        self.gone: set[int] = set()     # servers that were dropped once
+        self.gone: set[int] = set()  # servers that were dropped once
 
     def some(self, most: int = 1) -> Change:
         """As on a mean day: servers above all, then tenants, then routes; up to `most` records."""
@@ -168,7 +208,7 @@
         found = []
         for start in range(0, len(numbers), SERVERS_A_SET):
             self.serial += 1
-            items = [server(self.sizes, number, self.serial) for number in numbers[start:start + SERVERS_A_SET]]
+            items = [server(self.sizes, number, self.serial) for number in numbers[start : start + SERVERS_A_SET]]
             found.append(self._change([((Kind.SERVER, item["id"]), item) for item in items], []))
         return found
 
--- a/oakfork/lab/scale/modulerig.py
+++ b/oakfork/lab/scale/modulerig.py
@@ -3,6 +3,7 @@
 
 Only the module and the standard library are imported here: a fresh process measures memory by it.
 """
+
 import gc
 import heapq
 import itertools
@@ -19,24 +20,36 @@
 from oakfork.interface import SECOND, Method, Plan, Repeat, State, Status
 
 START = 3600 * SECOND
-GAP = 84                    # from RPC to RPC: 119 a second, as 320,000 over 2,700 gateways
-REPLY, ANSWER = 20, 40      # until a peer replies, until a server answers
-RELEASED = 60               # after its ask
-LIFE = 7                    # of all peers
-OTHERS = 1_000_000          # customers from here on have no bucket at this gateway
-IN_A_FRAME = 16             # asks, while the buckets are made
-SETTLED = 5 * SECOND        # longer than any timer of an RPC
-
-METHODS = (Method(2 * SECOND, 4 * SECOND, Repeat.IDEMPOTENT, "all", 0, 1.0, 0.0, False),
-           Method(2 * SECOND, 4 * SECOND, Repeat.DEDUPLICATED, "all", 6 * SECOND, 2.0, 0.2, False))
-PLAN = Plan(rate=20.0, burst=2000.0, concurrency=8, ceiling_rate=0.0, ceiling_burst=0.0, ceiling_slack=0.0, price=1.0,
-            beyond_utility=0.0, beyond_cost=1.0)    # a bucket lasts 100 s after its first use, longer than any play
+GAP = 84  # from RPC to RPC: 119 a second, as 320,000 over 2,700 gateways
+REPLY, ANSWER = 20, 40  # until a peer replies, until a server answers
+RELEASED = 60  # after its ask
+LIFE = 7  # of all peers
+OTHERS = 1_000_000  # customers from here on have no bucket at this gateway
+IN_A_FRAME = 16  # asks, while the buckets are made
+SETTLED = 5 * SECOND  # longer than any timer of an RPC
+
+METHODS = (
+    Method(2 * SECOND, 4 * SECOND, Repeat.IDEMPOTENT, "all", 0, 1.0, 0.0, False),
+    Method(2 * SECOND, 4 * SECOND, Repeat.DEDUPLICATED, "all", 6 * SECOND, 2.0, 0.2, False),
+)
+PLAN = Plan(
+    rate=20.0,
+    burst=2000.0,
+    concurrency=8,
+    ceiling_rate=0.0,
+    ceiling_burst=0.0,
+    ceiling_slack=0.0,
+    price=1.0,
+    beyond_utility=0.0,
+    beyond_cost=1.0,
+)  # a bucket lasts 100 s after its first use, longer than any play
 MAIL_PER_S, PROBE_PRICE, SEED = 1000.0, 0.01, 11
 
 
 @dataclass(frozen=True)
 class Sizes:
     """What grows. `customers` are those with a bucket here."""
+
     servers: int = 40
     peers: int = 2
     customers: int = 200
@@ -46,11 +59,34 @@
 
 def birth(sizes: Sizes) -> face.Birth:
     return face.Birth(
-        seed=SEED, index=0, gateways=sizes.peers + 1, zone=0, methods=METHODS, plans=(PLAN,) * sizes.plans,
-        mail_per_s=MAIL_PER_S, most_units=2, settles=False, peers=True, cancel=False, second_copies=True,
-        retry_after=True, probing=True, max_call_outs=2, asks_list=False, list_patience=SECOND, report_names=(),
-        report_how="off", drain_grace=SECOND // 4, cold_share=0.25, cold_time=15 * SECOND, fall_multiple=2.0,
-        fall_time=2 * SECOND, probe_price=PROBE_PRICE, connection_price=sizes.connection_price, idle_time=15 * SECOND)
+        seed=SEED,
+        index=0,
+        gateways=sizes.peers + 1,
+        zone=0,
+        methods=METHODS,
+        plans=(PLAN,) * sizes.plans,
+        mail_per_s=MAIL_PER_S,
+        most_units=2,
+        settles=False,
+        peers=True,
+        cancel=False,
+        second_copies=True,
+        retry_after=True,
+        probing=True,
+        max_call_outs=2,
+        asks_list=False,
+        list_patience=SECOND,
+        report_names=(),
+        report_how="off",
+        drain_grace=SECOND // 4,
+        cold_share=0.25,
+        cold_time=15 * SECOND,
+        fall_multiple=2.0,
+        fall_time=2 * SECOND,
+        probe_price=PROBE_PRICE,
+        connection_price=sizes.connection_price,
+        idle_time=15 * SECOND,
+    )
 
 
 def entry(server: int, up_since: int = 0) -> face.ServerEntry:
@@ -67,11 +103,11 @@
 
     def __init__(self, sizes: Sizes, kept: bool = False) -> None:
         self.sizes, self.now, self.count = sizes, START, 0
-        self.script: list[tuple[int, face.Event]] | None = [] if kept else None     # all that it was told, and when
+        self.script: list[tuple[int, face.Event]] | None = [] if kept else None  # all that it was told, and when
         self.queue: list[tuple[int, int, face.Event]] = []
         self.order, self.wakes = itertools.count(), set[int]()
-        self.life = 0                                   # the module's, as its frames say
-        self.numbers = [0] * (sizes.peers + 1)          # of the last frame from each peer
+        self.life = 0  # the module's, as its frames say
+        self.numbers = [0] * (sizes.peers + 1)  # of the last frame from each peer
         self.module = Brain(birth(sizes), START)
         self.list = whole_list(sizes.servers)
         self.handle(self.list)
@@ -127,7 +163,7 @@
 
     def _carry_out(self, command: face.Command) -> None:
         match command:
-            case face.Wake(token, after) if self.now + after not in self.wakes:     # the same again tells nothing
+            case face.Wake(token, after) if self.now + after not in self.wakes:  # the same again tells nothing
                 self.wakes.add(self.now + after)
                 self._later(after, face.TimeCame(token))
             case face.Send(rpc, server):
@@ -143,8 +179,19 @@
     def _arrive(self, customer: int, owner: int) -> None:
         """An RPC whose customer has its bucket at that gateway: with a spread of one, its first is the owner."""
         method = self.count % len(METHODS)
-        self.handle(face.Arrival(self.count & 1023, customer, method, customer % self.sizes.plans, 1.0, owner, 1,
-                                 METHODS[method].deadline, False))
+        self.handle(
+            face.Arrival(
+                self.count & 1023,
+                customer,
+                method,
+                customer % self.sizes.plans,
+                1.0,
+                owner,
+                1,
+                METHODS[method].deadline,
+                False,
+            )
+        )
 
     @property
     def _peer(self) -> int:
--- a/oakfork/lab/scale/process.py
+++ b/oakfork/lab/scale/process.py
@@ -1,5 +1,6 @@
 """Memory and start of one real process of the program by the size of what it is told: `python -m oakfork` as a child,
 on loopback, one at a time, killed at the end. It gets no RPC, and nobody is at the addresses that it is told of."""
+
 import http.client
 import json
 import os
@@ -24,21 +25,22 @@
 SMALL_SERVERS = (1, 1000, 2000, 4000)
 SMALL_GATEWAYS = (3, 300, 1000, 2700)
 HELD_SERVERS, HELD_GATEWAYS = 1, 3
-VALUES = 3              # children a size
-READY = 30.0            # seconds in which a child has to be ready
-ANEW = 0.005            # seconds until it is asked again, while it does not listen yet
-SETTLED = 1.0           # seconds after that until its memory is read
+VALUES = 3  # children a size
+READY = 30.0  # seconds in which a child has to be ready
+ANEW = 0.005  # seconds until it is asked again, while it does not listen yet
+SETTLED = 1.0  # seconds after that until its memory is read
 TICKS = os.sysconf("SC_CLK_TCK")
 NOBODY = "127.0.0.1:9"
-FIRST_PORT = 1024       # of the servers
+FIRST_PORT = 1024  # of the servers
 
 
 class Seen(NamedTuple):
     """Of one child. Bytes and seconds."""
-    memory: float       # resident, once settled
-    peak: float         # the most until then
-    ready: float        # from just before it was made to its first 200
-    processor: float    # until then
+
+    memory: float  # resident, once settled
+    peak: float  # the most until then
+    ready: float  # from just before it was made to its first 200
+    processor: float  # until then
 
 
 def configuration(servers: int, gateways: int) -> dict[str, Any]:
@@ -46,10 +48,17 @@
     listen, datagrams = (text(free_places(1, kind)[0]) for kind in (SOCK_STREAM, SOCK_DGRAM))
     known = [row | {"addr": f"127.0.0.1:{FIRST_PORT + number}"} for number, row in enumerate(rows(servers, 1))]
     others = [f"127.1.{number // 256}.{number % 256}:9" for number in range(1, gateways)]
-    return {"name": "n0", "listen": listen, "discovery": NOBODY, "seed": "8c1f30d27a5be964",
-            "limits": {"cores": 1.0, "memory_mb": 128, "sockets": 1024}, "peers": [datagrams, *others],
-            "peer_listen": datagrams, "known": {"version": 1, "full": True, "servers": known},
-            "settings": settings(gateways)}
+    return {
+        "name": "n0",
+        "listen": listen,
+        "discovery": NOBODY,
+        "seed": "8c1f30d27a5be964",
+        "limits": {"cores": 1.0, "memory_mb": 128, "sockets": 1024},
+        "peers": [datagrams, *others],
+        "peer_listen": datagrams,
+        "known": {"version": 1, "full": True, "servers": known},
+        "settings": settings(gateways),
+    }
 
 
 def log_of(path: Path) -> Path:
@@ -62,8 +71,14 @@
     at the end."""
     environment = {key: value for key, value in os.environ.items() if not key.startswith("LB_")}
     with open(log_of(path), "wb") as log:
-        process = subprocess.Popen([sys.executable, "-m", "oakfork"], stdin=subprocess.DEVNULL, stdout=log, stderr=log,
-                                   env=environment | {"LB_CONFIG": str(path)}, cwd=Path(__file__).parents[3])
+        process = subprocess.Popen(
+            [sys.executable, "-m", "oakfork"],
+            stdin=subprocess.DEVNULL,
+            stdout=log,
+            stderr=log,
+            env=environment | {"LB_CONFIG": str(path)},
+            cwd=Path(__file__).parents[3],
+        )
     try:
         yield process
     finally:
@@ -78,8 +93,10 @@
     while (left := until - time.monotonic()) > 0:
         if process.poll() is not None:
             raise RigError(f"the gateway ended: {log.read_text()[-400:]}")
-        with suppress(OSError, http.client.HTTPException), closing(
-                http.client.HTTPConnection(host, int(port), timeout=left)) as link:
+        with (
+            suppress(OSError, http.client.HTTPException),
+            closing(http.client.HTTPConnection(host, int(port), timeout=left)) as link,
+        ):
             link.request("GET", "/-/ready")
             if link.getresponse().status == 200:
                 return
@@ -117,8 +134,10 @@
     """Sizes in turn, again for each value, so that a slow minute is not one size's alone; raises RigError."""
     values, settled = (1, 0.1) if small else (VALUES, SETTLED)
     measures = []
-    for by, sizes, held in (("servers", SMALL_SERVERS if small else SERVERS, {"gateways": HELD_GATEWAYS}),
-                            ("gateways", SMALL_GATEWAYS if small else GATEWAYS, {"servers": HELD_SERVERS})):
+    for by, sizes, held in (
+        ("servers", SMALL_SERVERS if small else SERVERS, {"gateways": HELD_GATEWAYS}),
+        ("gateways", SMALL_GATEWAYS if small else GATEWAYS, {"servers": HELD_SERVERS}),
+    ):
         seen: dict[int, list[Seen]] = {size: [] for size in sizes}
         for _ in range(values):
             for size in sizes:
@@ -126,12 +145,20 @@
                 seen[size].append(look(servers, gateways, settled))
         held = held | {"rpcs": 0, "customers": 0, "mail_per_s": MAIL_PER_S}
         resident = "a fresh process told of them by its configuration, no RPC, nobody at the other addresses"
-        kinds = [("bytes of memory", "bytes", "memory", f"VmRSS {settled} s after it was ready; {resident}"),
-                 ("bytes of memory at the peak", "bytes", "peak", f"VmHWM, the start included; {resident}")]
+        kinds = [
+            ("bytes of memory", "bytes", "memory", f"VmRSS {settled} s after it was ready; {resident}"),
+            ("bytes of memory at the peak", "bytes", "peak", f"VmHWM, the start included; {resident}"),
+        ]
         if by == "servers":
-            kinds += [("seconds to ready", "seconds", "ready", f"to the first 200 of GET /-/ready; {resident}"),
-                      ("processor seconds to ready", "seconds", "processor",
-                       f"utime and stime in ticks of {1 / TICKS:g} s; {resident}")]
+            kinds += [
+                ("seconds to ready", "seconds", "ready", f"to the first 200 of GET /-/ready; {resident}"),
+                (
+                    "processor seconds to ready",
+                    "seconds",
+                    "processor",
+                    f"utime and stime in ticks of {1 / TICKS:g} s; {resident}",
+                ),
+            ]
         for what, unit, key, note in kinds:
             points = [(size, [float(getattr(one, key)) for one in seen[size]]) for size in sizes]
             measures.append(Measure(f"process by {by}: {what}", unit, by, points, held, note))
--- a/oakfork/lab/scale/reference.py
+++ b/oakfork/lab/scale/reference.py
@@ -1,4 +1,5 @@
 """What a call costs: bytecode instructions, the same on any machine, and processor time beside that of a fixed loop."""
+
 import gc
 import sys
 from statistics import median
@@ -6,8 +7,8 @@
 from types import FrameType
 from typing import Any, Callable
 
-TURNS = 100_000     # of the reference loop
-LOOPS = 5           # of which the median counts
+TURNS = 100_000  # of the reference loop
+LOOPS = 5  # of which the median counts
 
 
 def operations(call: Callable[[], Any]) -> int:
--- a/oakfork/lab/scale/slopes.py
+++ b/oakfork/lab/scale/slopes.py
@@ -3,6 +3,7 @@
 A measure varies one size and holds the others. Its slope comes with its 95% interval (Student's t over all single
 values), the residual, and whether the growth bends away from a line.
 """
+
 import json
 import math
 from dataclasses import asdict, dataclass, field
@@ -15,19 +16,20 @@
 
 from oakfork.errors import ScaleError
 
-FEWEST = 4          # sizes of a measure
-BENT = 0.05         # a line that misses the mean at any size by more of the largest is no line
+FEWEST = 4  # sizes of a measure
+BENT = 0.05  # a line that misses the mean at any size by more of the largest is no line
 
 
 class Slope(NamedTuple):
     """A line by least squares: what one more of the size costs, in the measure's unit."""
+
     slope: float
-    low: float          # 95% interval of the slope; equal to it where the line is exact
+    low: float  # 95% interval of the slope; equal to it where the line is exact
     high: float
     intercept: float
-    residual: float     # standard deviation of the values around the line
-    bend: float         # the largest miss of a size's mean beyond its noise, as a part of the largest mean; 0: a line
-    exponent: float     # of the size in the growth between the last two sizes, beyond the first: 1 is a line
+    residual: float  # standard deviation of the values around the line
+    bend: float  # the largest miss of a size's mean beyond its noise, as a part of the largest mean; 0: a line
+    exponent: float  # of the size in the growth between the last two sizes, beyond the first: 1 is a line
 
     @property
     def linear(self) -> bool:
@@ -38,18 +40,19 @@
     value: float
     low: float
     high: float
-    measured: bool      # at this very size; otherwise by the line
+    measured: bool  # at this very size; otherwise by the line
 
 
 @dataclass(frozen=True)
 class Measure:
     """Values of one cost at four sizes or more; raises ScaleError where there are fewer."""
-    name: str           # what/by, for example "change of one server: operations"
-    unit: str           # "operations", "bytes", "frames", "seconds", "references" ...
-    by: str             # the size that varies
-    points: list[tuple[float, list[float]]]     # size, values; by size
-    held: dict[str, Any] = field(default_factory=dict)      # the other sizes
-    note: str = ""      # what is counted and what is not
+
+    name: str  # what/by, for example "change of one server: operations"
+    unit: str  # "operations", "bytes", "frames", "seconds", "references" ...
+    by: str  # the size that varies
+    points: list[tuple[float, list[float]]]  # size, values; by size
+    held: dict[str, Any] = field(default_factory=dict)  # the other sizes
+    note: str = ""  # what is counted and what is not
 
     def __post_init__(self) -> None:
         sizes = [size for size, _ in self.points]
@@ -67,13 +70,25 @@
         reach = 0.0 if exact else float(stats.t.ppf(0.975, free) * line.stderr)
         means = [(size, mean(told)) for size, told in self.points]
         largest = max(abs(value) for _, value in means) or 1.0
-        bend = float(max(abs(value - line.intercept - line.slope * size) - noise for (size, value), noise in zip(
-            means, self._noise(), strict=True)) / largest)
+        bend = float(
+            max(
+                abs(value - line.intercept - line.slope * size) - noise
+                for (size, value), noise in zip(means, self._noise(), strict=True)
+            )
+            / largest
+        )
         (first, base), (size, value), (last, end) = means[0], means[-2], means[-1]
         grown = (end - base) / (value - base) if value != base else math.inf
         exponent = math.log(grown) / math.log((last - first) / (size - first)) if 0 < grown < math.inf else 0.0
-        return Slope(float(line.slope), float(line.slope) - reach, float(line.slope) + reach, float(line.intercept),
-                     residual, max(0.0, bend), exponent)
+        return Slope(
+            float(line.slope),
+            float(line.slope) - reach,
+            float(line.slope) + reach,
+            float(line.intercept),
+            residual,
+            max(0.0, bend),
+            exponent,
+        )
 
     def _noise(self) -> list[float]:
         """How far each size's mean may be off by chance: 95%, by the scatter within the sizes; 0 for single values."""
@@ -112,8 +127,9 @@
 def store(folder: Path, group: str, measures: list[Measure], more: dict[str, Any] | None = None) -> Path:
     """Writes a group's measures with their fits, as FOLDER/GROUP.json; `more` says what else holds of the run."""
     folder.mkdir(parents=True, exist_ok=True)
-    rows = [asdict(measure) | {"fit": measure.fit()._asdict() | {"linear": measure.fit().linear}}
-            for measure in measures]
+    rows = [
+        asdict(measure) | {"fit": measure.fit()._asdict() | {"linear": measure.fit().linear}} for measure in measures
+    ]
     path = folder / f"{group}.json"
     told = {"group": group, "command": f"oakfork lab scale {group}", **(more or {}), "measures": rows}
     path.write_text(json.dumps(told, indent=1) + "\n")
@@ -134,5 +150,7 @@
     """One line for people."""
     fit = measure.fit()
     shape = "" if fit.linear else f"; NOT LINEAR: misses by {fit.bend:.0%}, exponent {fit.exponent:.2f} at the end"
-    return (f"{measure.name}: {fit.slope:.4g} {measure.unit} for one more of {measure.by} "
-            f"({fit.low:.4g} to {fit.high:.4g}), {fit.intercept:.4g} at none, residual {fit.residual:.3g}{shape}")
+    return (
+        f"{measure.name}: {fit.slope:.4g} {measure.unit} for one more of {measure.by} "
+        f"({fit.low:.4g} to {fit.high:.4g}), {fit.intercept:.4g} at none, residual {fit.residual:.3g}{shape}"
+    )
--- a/oakfork/lab/scale/traced.py
+++ b/oakfork/lab/scale/traced.py
@@ -5,6 +5,7 @@
 answer is handed to the socket. Its record is written as one JSON line to the file that OAKFORK_TRACE names, once the
 gateway has left (SIGTERM). Times are nanoseconds of time.perf_counter_ns, one clock for all processes of a machine.
 """
+
 import functools
 import json
 import os
@@ -14,10 +15,21 @@
 from typing import Any, Callable, Generator, Iterator, NamedTuple
 
 # In the order in which an RPC that asks goes through them.
-PARTS = ("parse", "queue", "decision", "admission", "pace", "ask", "look", "start", "connection", "call-out",
-         "way back")
+PARTS = (
+    "parse",
+    "queue",
+    "decision",
+    "admission",
+    "pace",
+    "ask",
+    "look",
+    "start",
+    "connection",
+    "call-out",
+    "way back",
+)
 PARSE, QUEUE, DECISION, ADMISSION, PACE, ASK, LOOK, START, CONNECTION, CALL_OUT, WAY_BACK = range(len(PARTS))
-MOST = 20_000       # records; RPCs beyond them are served and counted only
+MOST = 20_000  # records; RPCs beyond them are served and counted only
 FILE = "OAKFORK_TRACE"
 
 Wrap = Callable[[Callable[..., Any]], Callable[..., Any]]
@@ -25,14 +37,27 @@
 
 class Record:
     """Where the time of one RPC went. It stays in its call-outs while one is out and in the way back to its end."""
-    __slots__ = ("rpc", "begun", "since", "part", "parts", "out", "asks", "replies", "call_outs", "connections",
-                 "ended", "status")
+
+    __slots__ = (
+        "rpc",
+        "begun",
+        "since",
+        "part",
+        "parts",
+        "out",
+        "asks",
+        "replies",
+        "call_outs",
+        "connections",
+        "ended",
+        "status",
+    )
 
     def __init__(self, rpc: str, begun: int) -> None:
         self.rpc, self.begun, self.since, self.part = rpc, begun, begun, PARSE
         self.parts = [0] * len(PARTS)
         self.out = self.asks = self.replies = self.call_outs = self.connections = self.ended = 0
-        self.status: int | None = None      # None: no answer, or nobody there to be answered
+        self.status: int | None = None  # None: no answer, or nobody there to be answered
 
     def to(self, part: int) -> None:
         """From now on its time is that part's."""
@@ -61,12 +86,15 @@
             self._turn(self.part, self.ended)
 
     def told(self) -> dict[str, Any]:
-        return {name: getattr(self, name) for name in ("rpc", "begun", "ended", "status", "asks", "replies",
-                                                       "call_outs", "connections", "parts")}
+        return {
+            name: getattr(self, name)
+            for name in ("rpc", "begun", "ended", "status", "asks", "replies", "call_outs", "connections", "parts")
+        }
 
 
 class Leg:
     """A call-out in its own task."""
+
     __slots__ = ("record", "written")
 
     def __init__(self, record: Record) -> None:
@@ -85,12 +113,12 @@
     def __init__(self) -> None:
         self.records: dict[bytes, Record] = {}
         self.missed = 0
-        self.door: Any = None       # of the keeper: leads from the module's index of an RPC to its exchange
+        self.door: Any = None  # of the keeper: leads from the module's index of an RPC to its exchange
         self.leg: ContextVar[Leg | None] = ContextVar("leg", default=None)
-        self.asked: dict[tuple[int, int], Record] = {}      # owner, serial -> whose ask waits; emptied as it leaves
-        self.owed: dict[tuple[int, int], int] = {}          # who asks, serial -> since when; emptied as it leaves
-        self.served: list[int] = []     # what asks took here, as their owner; MOST at most
-        self.answering: tuple[Record, int] | None = None    # with its status, until it is handed to the socket
+        self.asked: dict[tuple[int, int], Record] = {}  # owner, serial -> whose ask waits; emptied as it leaves
+        self.owed: dict[tuple[int, int], int] = {}  # who asks, serial -> since when; emptied as it leaves
+        self.served: list[int] = []  # what asks took here, as their owner; MOST at most
+        self.answering: tuple[Record, int] | None = None  # with its status, until it is handed to the socket
 
     def of(self, index: int) -> Record | None:
         ticket = self.door.tickets[index] if self.door else None
@@ -112,14 +140,23 @@
         from oakfork.sockets.peers import Peers
         from oakfork.sockets.servers import Servers
 
-        return [Wrapped(Link, "fill", self._fill), Wrapped(Client, "_take", self._client_take),
-                Wrapped(Keeper, "_take", self._keeper_take), Wrapped(Quotas, "admit", self._waits(ADMISSION, PACE)),
-                Wrapped(Peers, "tell", self._tell), Wrapped(Quotas, "received", self._received),
-                Wrapped(Brain, "_look", self._waits(DECISION, LOOK)), Wrapped(Keeper, "_send", self._send),
-                Wrapped(Keeper, "_call_out", self._call_out), Wrapped(Servers, "_new", self._new),
-                Wrapped(Servers, "call", self._call), Wrapped(Link, "write", self._write),
-                Wrapped(Keeper, "_finish", self._finish), Wrapped(Exchange, "answer", self._answer),
-                Wrapped(Link, "_push", self._push)]
+        return [
+            Wrapped(Link, "fill", self._fill),
+            Wrapped(Client, "_take", self._client_take),
+            Wrapped(Keeper, "_take", self._keeper_take),
+            Wrapped(Quotas, "admit", self._waits(ADMISSION, PACE)),
+            Wrapped(Peers, "tell", self._tell),
+            Wrapped(Quotas, "received", self._received),
+            Wrapped(Brain, "_look", self._waits(DECISION, LOOK)),
+            Wrapped(Keeper, "_send", self._send),
+            Wrapped(Keeper, "_call_out", self._call_out),
+            Wrapped(Servers, "_new", self._new),
+            Wrapped(Servers, "call", self._call),
+            Wrapped(Link, "write", self._write),
+            Wrapped(Keeper, "_finish", self._finish),
+            Wrapped(Exchange, "answer", self._answer),
+            Wrapped(Link, "_push", self._push),
+        ]
 
     def install(self) -> None:
         for owner, name, wrap in self.wraps():
@@ -134,14 +171,16 @@
             more = await original(link)
             link.filled = perf_counter_ns()
             return more
+
         return fill
 
     def _client_take(self, original: Callable) -> Callable:
         """Parse: from the last bytes in hand until the RPC has been told to the keeper."""
+
         def take(client: Any, message: Any) -> None:
             original(client, message)
             exchange = client.exchange
-            if exchange is None or hasattr(exchange, "record"):     # answered at once, or there already
+            if exchange is None or hasattr(exchange, "record"):  # answered at once, or there already
                 return
             if len(self.records) >= MOST:
                 self.missed += 1
@@ -150,14 +189,16 @@
             record = Record(exchange.id.decode("latin-1"), getattr(client.link, "filled", perf_counter_ns()))
             exchange.record = self.records[exchange.id] = record
             record.to(QUEUE)
+
         return take
 
     def _keeper_take(self, original: Callable) -> Callable:
         def take(keeper: Any, told: Any) -> None:
             self.door = keeper.door
-            if record := getattr(getattr(told, "exchange", None), "record", None):      # Came, Left, CallOutOver
+            if record := getattr(getattr(told, "exchange", None), "record", None):  # Came, Left, CallOutOver
                 record.to(DECISION)
             original(keeper, told)
+
         return take
 
     def _waits(self, running: int, waiting: int) -> Wrap:
@@ -189,7 +230,9 @@
                     run.close()
                     self.asked.pop(key, None)
                     record.to(DECISION)
+
             return waits
+
         return wrap
 
     def _tell(self, original: Callable) -> Callable:
@@ -203,6 +246,7 @@
                 elif isinstance(item, Answer) and (since := self.owed.pop((peer, item.serial), 0)):
                     self.served.append(perf_counter_ns() - since)
             original(peers, peer, data)
+
         return tell
 
     def _received(self, original: Callable) -> Callable:
@@ -213,23 +257,27 @@
             if isinstance(item, Ask) and len(self.served) + len(self.owed) < MOST:
                 self.owed.setdefault((sender, item.serial), perf_counter_ns())
             return original(quotas, sender, item)
+
         return received
 
     def _send(self, original: Callable) -> Callable:
         """Start: from the command to send until the first byte is about to be written, but for a new connection."""
+
         def send(keeper: Any, command: Any) -> None:
             ticket = keeper.door.tickets[command.rpc]
             out = ticket.out
             original(keeper, command)
             if ticket.out > out and (record := getattr(ticket.true_id, "record", None)):
                 record.to(START)
+
         return send
 
     def _call_out(self, original: Callable) -> Callable:
         async def call_out(keeper: Any, exchange: Any, *args: Any) -> None:
             if record := getattr(exchange, "record", None):
-                self.leg.set(Leg(record))       # of this task alone
+                self.leg.set(Leg(record))  # of this task alone
             await original(keeper, exchange, *args)
+
         return call_out
 
     def _new(self, original: Callable) -> Callable:
@@ -242,6 +290,7 @@
                 return await original(servers, *args)
             finally:
                 leg.record.to(START)
+
         return new
 
     def _write(self, original: Callable) -> Callable:
@@ -250,11 +299,13 @@
                 leg.written = True
                 leg.record.written()
             await original(link, *args)
+
         return write
 
     def _call(self, original: Callable) -> Callable:
         """Call-out: from the first byte about to be written until the whole answer is read, or there will be none.
         From the answer read on it is the way back."""
+
         async def call(servers: Any, *args: Any, **more: Any) -> Any:
             if (leg := self.leg.get()) is None:
                 return await original(servers, *args, **more)
@@ -268,6 +319,7 @@
                     leg.record.over(answered)
                 else:
                     leg.record.to(QUEUE)
+
         return call
 
     def _finish(self, original: Callable) -> Callable:
@@ -275,6 +327,7 @@
             if record := self.of(rpc):
                 record.to(WAY_BACK)
             original(keeper, rpc, answer)
+
         return finish
 
     def _answer(self, original: Callable) -> Callable:
@@ -287,27 +340,32 @@
                 original(exchange, given)
             finally:
                 self.answering = None
-                record.end(None)    # unless it has been handed to a socket
+                record.end(None)  # unless it has been handed to a socket
+
         return answer
 
     def _push(self, original: Callable) -> Callable:
         """The end, just before: nothing of it can be at the client earlier."""
+
         def push(link: Any, left: Any) -> Any:
             if self.answering:
                 record, status = self.answering
                 self.answering = None
                 record.end(status)
             return original(link, left)
+
         return push
 
 
 def main() -> None:
     from oakfork import early
+
     early.hold()
     path = os.environ.get(FILE)
     if not path:
         sys.exit(f"{FILE} names no file")
     from oakfork.serving import serve
+
     trace = Trace()
     trace.install()
     try:
--- a/oakfork/lab/scale/ways.py
+++ b/oakfork/lab/scale/ways.py
@@ -1,9 +1,10 @@
 """TCP connections between processes of a play, carried by the play: shut as by a cut, ended in the middle of a frame,
 or with the answers swallowed. Loopback only. Over trio.
 """
+
 import trio
 
-AT_ONCE = 65_536    # bytes
+AT_ONCE = 65_536  # bytes
 
 
 class Way:
@@ -13,8 +14,8 @@
         self.target, self.listener = target, listener
         self.opened = trio.Event()
         self.opened.set()
-        self.mute = False       # swallows what the target says
-        self.tears = 0          # so many connections end in their next frame from the target
+        self.mute = False  # swallows what the target says
+        self.tears = 0  # so many connections end in their next frame from the target
         self.torn = 0
 
     @classmethod
@@ -46,8 +47,9 @@
                 nursery.start_soon(self._pump, stream, behind, False, nursery.cancel_scope)
                 nursery.start_soon(self._pump, behind, stream, True, nursery.cancel_scope)
 
-    async def _pump(self, source: trio.SocketStream, sink: trio.SocketStream, down: bool,
-                    scope: trio.CancelScope) -> None:
+    async def _pump(
+        self, source: trio.SocketStream, sink: trio.SocketStream, down: bool, scope: trio.CancelScope
+    ) -> None:
         try:
             while data := await source.receive_some(AT_ONCE):
                 await self.opened.wait()
--- a/oakfork/lab/stage.py
+++ b/oakfork/lab/stage.py
@@ -1,4 +1,5 @@
 """What the gateways of the model see of its world: types only, so that no part of the model needs to know the whole."""
+
 from dataclasses import dataclass, field
 from typing import Any, Callable, Mapping, Protocol, Sequence
 
@@ -12,6 +13,7 @@
 
 class Policy(Protocol):
     """What decides: the decision module, or a baseline in its place."""
+
     def handle(self, now: int, event: face.Event) -> Sequence[face.Command]: ...
 
 
@@ -31,10 +33,11 @@
 @dataclass(slots=True)
 class Exchange:
     """One RPC at its gateway."""
+
     rpc: int
     watched: Watched
     units: float
-    answered: Callable[[str, int], None]    # called with the answer's word and the advice
+    answered: Callable[[str, int], None]  # called with the answer's word and the advice
     index: int = -1
     over: bool = False
     call_outs: dict[int, CallOut] = field(default_factory=dict)
@@ -43,6 +46,7 @@
 
 class Host(Protocol):
     """A gateway as the world sees it."""
+
     number: int
     zone: int
     life: int
@@ -57,6 +61,7 @@
 
 class Stage(Protocol):
     """The world as a gateway of the model sees it."""
+
     plan: WorldPlan
     loop: Loop
     checker: Checker
--- a/oakfork/lab/sweep.py
+++ b/oakfork/lab/sweep.py
@@ -3,6 +3,7 @@
 The same file, seeds and code give the same bytes whatever the number of workers: a run depends on its own seed alone,
 and results stand in the order of the file. A run that crashes is reported, and the others go on.
 """
+
 import hashlib
 import json
 import subprocess
@@ -26,8 +27,9 @@
     for path in sorted(root.rglob("*.py")):
         digest.update(path.relative_to(root).as_posix().encode() + b"\0" + path.read_bytes())
     try:
-        asked = subprocess.run(["git", "-C", str(root), "rev-parse", "--short=12", "HEAD"], capture_output=True,
-                               text=True, timeout=5)
+        asked = subprocess.run(
+            ["git", "-C", str(root), "rev-parse", "--short=12", "HEAD"], capture_output=True, text=True, timeout=5
+        )
         commit = asked.stdout.strip() if asked.returncode == 0 else ""
     except (OSError, subprocess.TimeoutExpired):
         commit = ""
@@ -48,11 +50,16 @@
 class Sweep:
     """Results of single runs stand in a folder until all are there; then one file has them in order."""
 
-    def __init__(self, experiment: Experiment, folder: Path, workers: int,
-                 player: Callable[[Run], dict[str, Any]] = play) -> None:
+    def __init__(
+        self, experiment: Experiment, folder: Path, workers: int, player: Callable[[Run], dict[str, Any]] = play
+    ) -> None:
         self.experiment, self.folder, self.workers, self.player = experiment, folder, workers, player
-        self.header = {"experiment": experiment.name, "file": experiment.digest, "code": revision(),
-                       "seeds": list(experiment.seeds)}
+        self.header = {
+            "experiment": experiment.name,
+            "file": experiment.digest,
+            "code": revision(),
+            "seeds": list(experiment.seeds),
+        }
         self.parts = folder / "runs"
 
     def _part(self, run: Run) -> Path:
@@ -64,15 +71,18 @@
             kept = json.loads(self._part(run).read_text())
         except (OSError, ValueError):
             return False
-        return isinstance(kept, dict) and kept.get("run", {}).get("key") == run.key and all(
-            kept.get(name) == self.header[name] for name in ("file", "code"))
+        return (
+            isinstance(kept, dict)
+            and kept.get("run", {}).get("key") == run.key
+            and all(kept.get(name) == self.header[name] for name in ("file", "code"))
+        )
 
     def _keep(self, run: Run, result: dict[str, Any]) -> None:
         named = {"number": run.number, "key": run.key, "policy": run.policy, "seed": run.seed, "point": dict(run.point)}
         text = json.dumps(self.header | {"run": named, "result": result}, sort_keys=True)
         part = self._part(run)
         part.with_suffix(".new").write_text(text + "\n")
-        part.with_suffix(".new").replace(part)      # whole or not at all
+        part.with_suffix(".new").replace(part)  # whole or not at all
 
     def run(self, told: Callable[[Run, dict[str, Any]], None] = lambda run, result: None) -> int:
         """The number of runs that failed."""
@@ -90,11 +100,11 @@
         out: dict[Future, Run] = {}
         suspects: list[Run] = []
         with ProcessPoolExecutor(self.workers) as pool:
-            while waiting or out:       # all out are broken at once where one worker dies
+            while waiting or out:  # all out are broken at once where one worker dies
                 while waiting and len(out) < self.workers:
                     try:
                         out[pool.submit(_guarded, waiting[-1], self.player)] = waiting[-1]
-                    except BrokenProcessPool:       # a worker died just now: those that are out tell
+                    except BrokenProcessPool:  # a worker died just now: those that are out tell
                         break
                     waiting.pop()
                 done, _ = wait(out, return_when=FIRST_COMPLETED)
--- a/oakfork/lab/tier.py
+++ b/oakfork/lab/tier.py
@@ -1,4 +1,5 @@
 """A gateway of the model: hosts a policy as the real gateway hosts the module, and carries out its commands."""
+
 from typing import Sequence
 
 from oakfork import interface as face
@@ -19,10 +20,10 @@
         self.life, self.up, self.deaf = 0, False, False
         self.policy: Policy | None = None
         self.door: Door[int, int] = Door()
-        self.exchanges: dict[int, Exchange] = {}    # by the door's index; emptied as RPCs end
-        self.idle: dict[int, list[int]] = {}     # server -> idle connections, since when; emptied by use
-        self.list: dict[int, Server] = {}           # by the true number: what it was told last
-        self.mail = 0.0                             # frames of this second
+        self.exchanges: dict[int, Exchange] = {}  # by the door's index; emptied as RPCs end
+        self.idle: dict[int, list[int]] = {}  # server -> idle connections, since when; emptied by use
+        self.list: dict[int, Server] = {}  # by the true number: what it was told last
+        self.mail = 0.0  # frames of this second
         self.mail_second = -1
 
     def start(self) -> None:
@@ -52,14 +53,23 @@
                 continue
             known = self.list.get(server.number)
             if known is not None and known is not server:
-                self.idle.pop(server.number, None)      # another process there
+                self.idle.pop(server.number, None)  # another process there
             self.list[server.number] = server
             if state == State.READY:
                 checker.ready_told(self.number, server.number)
             else:
                 checker.drain_told(self.number, server.number, now)
-            entries.append(face.ServerEntry(self.door.server(server.number), server.number + 1, server.zone,
-                                            server.cell, state, server.since, 1.0))
+            entries.append(
+                face.ServerEntry(
+                    self.door.server(server.number),
+                    server.number + 1,
+                    server.zone,
+                    server.cell,
+                    state,
+                    server.since,
+                    1.0,
+                )
+            )
         self.handle(face.ServerList(complete, False, tuple(entries)))
 
     def arrive(self, exchange: Exchange, arrival: face.Arrival) -> None:
@@ -201,5 +211,9 @@
         if index is None:
             self.door.settle(exchange.index)
             return
-        self.handle(face.CallOutEnded(exchange.index, call_out.number, index, now - call_out.sent_at, status,
-                                      exchange.over, 0.0, ()), exchange.index)
+        self.handle(
+            face.CallOutEnded(
+                exchange.index, call_out.number, index, now - call_out.sent_at, status, exchange.over, 0.0, ()
+            ),
+            exchange.index,
+        )
--- a/oakfork/lab/witness.py
+++ b/oakfork/lab/witness.py
@@ -3,6 +3,7 @@
 An act begins when it is taken, and ends at its end. Two acts of different holders that overlap, an act of an older term
 after one of a newer, or one term of two holders is a fault.
 """
+
 import random
 import socket
 from collections import Counter
@@ -17,10 +18,10 @@
 
 
 class Taken(NamedTuple):
-    at: int             # tenths of a millisecond
+    at: int  # tenths of a millisecond
     end: int
     gateway: int
-    holder: int         # its life
+    holder: int  # its life
     term: int
 
 
@@ -28,9 +29,9 @@
     def __init__(self, sock: socket.socket, seed: int) -> None:
         self.sock, self.dice = sock, random.Random(seed)
         self.guard = fence.Fence(self.dice.getrandbits(60))
-        self.acts: list[Taken] = []         # as many as acts of one drill
+        self.acts: list[Taken] = []  # as many as acts of one drill
         self.refused: Counter[str] = Counter()
-        self.fenced = True                  # a variant of the drill takes what comes
+        self.fenced = True  # a variant of the drill takes what comes
 
     async def run(self) -> None:
         try:
@@ -58,8 +59,9 @@
             self.acts.append(Taken(now, max(now, message.end), message.gateway, message.holder, message.term))
         else:
             self.refused[verdict.value] += 1
-        return Acted(message.task, message.number, list(fence.Verdict).index(verdict), self.guard.highest,
-                     self.guard.life, now)
+        return Acted(
+            message.task, message.number, list(fence.Verdict).index(verdict), self.guard.highest, self.guard.life, now
+        )
 
     def restart(self) -> None:
         """It forgets the terms it has seen, and is another to the holders."""
