--- a/oakfork/lab/world.py
+++ b/oakfork/lab/world.py
@@ -1,4 +1,5 @@
 """The world of the model: everything beside the policies, put together, and what goes wrong in it."""
+
 from typing import Any, Callable
 
 import numpy
@@ -14,8 +15,8 @@
 from oakfork.lab.tally import Tally
 from oakfork.lab.tier import EVERYONE, Gateway
 
-STREAMS = ("clients", "work", "links", "faults", "discovery", "births")     # chance of one does not shift another's
-PROBE_WORK = 3      # tenths of a millisecond of a core that a probe costs a server
+STREAMS = ("clients", "work", "links", "faults", "discovery", "births")  # chance of one does not shift another's
+PROBE_WORK = 3  # tenths of a millisecond of a core that a probe costs a server
 
 
 class Counter:
@@ -23,7 +24,7 @@
 
     def __init__(self, world: "World") -> None:
         self.world, self.up = world, True
-        self.totals: dict[int, float] = {}      # as many as names; those not kept any more are dropped
+        self.totals: dict[int, float] = {}  # as many as names; those not kept any more are dropped
         self.kept: dict[int, int] = {}
 
     def call(self, gateway: Gateway, call: face.Count) -> None:
@@ -53,13 +54,13 @@
     def __init__(self, plan: WorldPlan, decide: Decide, seed: int, loop: Loop | None = None) -> None:
         """`decide` and `loop` are replaceable parts: a policy for each gateway, and what plays the events."""
         self.plan, self.decide, self.loop = plan, decide, loop or Loop()
-        self.loop.now = SECOND          # 0 stands for long ago
+        self.loop.now = SECOND  # 0 stands for long ago
         self.checker, self.tally = Checker(plan), Tally(plan.seconds + 1, SECOND)
         children = numpy.random.SeedSequence(seed).spawn(len(STREAMS))
         self.dices = {name: numpy.random.default_rng(child) for name, child in zip(STREAMS, children, strict=True)}
         self.surge = 1.0
         self.down_since: dict[int, int] = {}
-        self.cut: set[int] = set()      # zones
+        self.cut: set[int] = set()  # zones
         self.loss, self.deaf = plan.links.peer_loss, False
         self.late = plan.discovery.late
         self.next_server = 0
@@ -88,24 +89,50 @@
     def _server(self, since: int) -> Server:
         number, plan = self.next_server, self.plan.servers
         self.next_server += 1
-        server = self.servers[number] = Server(number, number % self.plan.zones, number % plan.cells, since, plan,
-                                               self.loop)
+        server = self.servers[number] = Server(
+            number, number % self.plan.zones, number % plan.cells, since, plan, self.loop
+        )
         return server
 
     def birth(self, index: int, zone: int) -> face.Birth:
         plan, links = self.plan, self.plan.links
-        methods = tuple(face.Method(m.soft_deadline, m.deadline, m.repeat, m.group, m.remembered, m.utility,
-                                    m.late_utility, False) for m in plan.methods)
-        plans = tuple(face.Plan(p.rate, p.burst, 0, p.ceiling_rate, p.ceiling_burst, p.ceiling_slack, p.price, 0.0,
-                                p.beyond_cost) for p in plan.plans)
+        methods = tuple(
+            face.Method(m.soft_deadline, m.deadline, m.repeat, m.group, m.remembered, m.utility, m.late_utility, False)
+            for m in plan.methods
+        )
+        plans = tuple(
+            face.Plan(p.rate, p.burst, 0, p.ceiling_rate, p.ceiling_burst, p.ceiling_slack, p.price, 0.0, p.beyond_cost)
+            for p in plan.plans
+        )
         return face.Birth(
-            seed=int(self.chance("births").integers(1 << 63)), index=index, gateways=plan.gateways, zone=zone,
-            methods=methods, plans=plans, mail_per_s=links.mail_per_s, most_units=1, settles=False, peers=True,
-            cancel=True, second_copies=plan.second_copies, retry_after=plan.retry_after, probing=plan.probing,
-            max_call_outs=plan.max_call_outs, asks_list=False, list_patience=SECOND, report_names=(), report_how="off",
-            drain_grace=plan.drain_grace, cold_share=plan.servers.cold_share, cold_time=plan.servers.cold_time,
-            fall_multiple=plan.servers.fall_multiple, fall_time=plan.servers.fall_time, probe_price=plan.probe_price,
-            connection_price=plan.connection_price, idle_time=links.idle)
+            seed=int(self.chance("births").integers(1 << 63)),
+            index=index,
+            gateways=plan.gateways,
+            zone=zone,
+            methods=methods,
+            plans=plans,
+            mail_per_s=links.mail_per_s,
+            most_units=1,
+            settles=False,
+            peers=True,
+            cancel=True,
+            second_copies=plan.second_copies,
+            retry_after=plan.retry_after,
+            probing=plan.probing,
+            max_call_outs=plan.max_call_outs,
+            asks_list=False,
+            list_patience=SECOND,
+            report_names=(),
+            report_how="off",
+            drain_grace=plan.drain_grace,
+            cold_share=plan.servers.cold_share,
+            cold_time=plan.servers.cold_time,
+            fall_multiple=plan.servers.fall_multiple,
+            fall_time=plan.servers.fall_time,
+            probe_price=plan.probe_price,
+            connection_price=plan.connection_price,
+            idle_time=links.idle,
+        )
 
     def run(self) -> dict[str, Any]:
         start = self.loop.now
@@ -117,14 +144,18 @@
         end = start + self.plan.seconds * SECOND
         self.loop.run(end)
         played = self.loop.played
-        self.crowd.closed = True    # what is out is answered
+        self.crowd.closed = True  # what is out is answered
         longest = max(method.deadline for method in self.plan.methods)
         self.loop.run(end + 2 * longest + SECOND)
         self.checker.close(self.loop.now)
         for server in self.servers.values():
             self.tally.server_work[server.number] += server.busy
-        return self.tally.result() | {"broken": dict(sorted(self.checker.broken.items())), "lines": self.checker.lines,
-                                      "events": played, "taken": self.checker.taken}
+        return self.tally.result() | {
+            "broken": dict(sorted(self.checker.broken.items())),
+            "lines": self.checker.lines,
+            "events": played,
+            "taken": self.checker.taken,
+        }
 
     # Links
 
@@ -165,7 +196,7 @@
         if server.cut or not self.reachable(gateway.zone, server.zone):
             if fresh:
                 ends(Status.CONNECT_FAILED, self.plan.links.connect_patience)
-            return      # an open connection stays silent
+            return  # an open connection stays silent
         if not server.up or fresh and server.connections >= self.plan.servers.connections:
             ends(Status.CONNECT_FAILED, back)
             return
@@ -181,8 +212,11 @@
             ends(Status.ERROR, back + 10)
             return
         method = exchange.watched.method
-        work = {"exponential": lambda: dice.exponential(method.work), "fixed": lambda: method.work,
-                "lognormal": lambda: method.work * dice.lognormal(-0.125, 0.5)}[method.spread]()
+        work = {
+            "exponential": lambda: dice.exponential(method.work),
+            "fixed": lambda: method.work,
+            "lognormal": lambda: method.work * dice.lognormal(-0.125, 0.5),
+        }[method.spread]()
         if server.cold(loop.now):
             could = server.plan.cores * server.warmth(loop.now)
             if self.checker.work_at_cold(server.number, loop.now, work, could):
@@ -264,6 +298,7 @@
         def undo() -> None:
             for gateway in struck:
                 gateway.start()
+
         return undo
 
     def _fault_roll_gateways(self, fault: Fault) -> None:
@@ -289,8 +324,15 @@
             for exchange in list(gateway.exchanges.values()):
                 for call_out in list(exchange.call_outs.values()):
                     if call_out.server is server and call_out.reached:
-                        self.loop.after(self.plan.links.server, Kind.ENDING, gateway.ended, exchange, call_out,
-                                        Status.RESET, gateway.life)
+                        self.loop.after(
+                            self.plan.links.server,
+                            Kind.ENDING,
+                            gateway.ended,
+                            exchange,
+                            call_out,
+                            Status.RESET,
+                            gateway.life,
+                        )
         self.tell([server])
 
     def _fault_kill_servers(self, fault: Fault) -> Callable[[], None]:
@@ -304,6 +346,7 @@
                 self.tally.server_work[old.number] += old.busy
                 self.servers[old.number] = fresh
                 self.tell([fresh])
+
         return undo
 
     def _fault_replace_servers(self, fault: Fault) -> None:
@@ -331,6 +374,7 @@
             for server, old in zip(struck, before, strict=True):
                 for name, value in old.items():
                     setattr(server, name, value)
+
         return undo
 
     def _fault_hang(self, fault: Fault) -> Callable[[], None]:
@@ -365,6 +409,7 @@
         def undo() -> None:
             for gateway in struck:
                 gateway.deaf = False
+
         return undo
 
     def _fault_cut_zone(self, fault: Fault) -> Callable[[], None]:
@@ -381,4 +426,5 @@
 
         def undo() -> None:
             self.counter.up = True
+
         return undo
--- a/oakfork/leases/fence.py
+++ b/oakfork/leases/fence.py
@@ -4,6 +4,7 @@
 for any time, by the network or by a process that stood still, has no effect after its lease; and one of an older
 term has none after a newer one was seen.
 """
+
 from enum import Enum
 from typing import NamedTuple
 
@@ -13,7 +14,7 @@
 
 class Verdict(Enum):
     TAKEN = "taken"
-    LATE = "late"               # its end has passed
+    LATE = "late"  # its end has passed
     OLDER = "of an older term"
     STRANGE = "meant for another life"
 
@@ -40,9 +41,10 @@
 
 class View(NamedTuple):
     """What a holder knows of the clock of what it acts upon."""
+
     life: int
-    clock: int      # there, not later than
-    at: int         # here
+    clock: int  # there, not later than
+    at: int  # here
 
 
 def end_there(view: View, end: int, lengths: Lengths) -> int:
--- a/oakfork/leases/holder.py
+++ b/oakfork/leases/holder.py
@@ -4,6 +4,7 @@
 (`holds`), and gives the act an end (`fence`) that what it acts upon checks on a clock of its own: between the look
 and the act a process may have been stopped for any time.
 """
+
 from typing import NamedTuple
 
 from oakfork.leases.lengths import Lengths
@@ -14,18 +15,18 @@
     me: int
     life: int
     voters: tuple[int, ...]
-    known: int = 0                  # the highest term heard of
-    term: int = 0                   # asked for or held
-    round: int = 0                  # of asking; grows
-    asked: bool = False             # a round is out
+    known: int = 0  # the highest term heard of
+    term: int = 0  # asked for or held
+    round: int = 0  # of asking; grows
+    asked: bool = False  # a round is out
     asked_at: int = 0
-    grants: frozenset[int] = frozenset()    # to this round
+    grants: frozenset[int] = frozenset()  # to this round
     refusals: frozenset[int] = frozenset()
-    soonest: int = 0                # the least wait that this round's refusals name
-    until: int = 0                  # the lease, on this clock; 0: none
-    acting: int = 0                 # the last end of an act so far
-    wake: int = 0                   # when `woken` has something to do
-    failed: int = 0                 # rounds in a row without a majority
+    soonest: int = 0  # the least wait that this round's refusals name
+    until: int = 0  # the lease, on this clock; 0: none
+    acting: int = 0  # the last end of an act so far
+    wake: int = 0  # when `woken` has something to do
+    failed: int = 0  # rounds in a row without a majority
     leaving: bool = False
 
     def holds(self, now: int) -> bool:
@@ -38,28 +39,37 @@
 
 
 NEVER = 1 << 62
-Said = tuple[Ask | Release, ...]    # to all voters
+Said = tuple[Ask | Release, ...]  # to all voters
 
 
 def woken(one: Contender, now: int, lengths: Lengths, task: int, chance: float) -> tuple[Contender, Said]:
     """Its time has come: asks, asks for longer, gives up a round, or leaves. `chance` is drawn from 0 to 1."""
     if now < one.wake:
         return one, ()
-    if one.leaving:     # what it did last is over
+    if one.leaving:  # what it did last is over
         return one._replace(until=0, round=one.round + 1, wake=NEVER), _release(one, task)
     if one.until and now >= one.until or one.asked and not one.until:
         # The lease is over, and the next has a term of its own; or a round brought no majority in time.
         return _given_up(one._replace(until=0), now, lengths, task, chance, 0)
     term = one.term if one.until else max(one.known, one.term) + 1
-    one = one._replace(known=max(one.known, term), term=term, round=one.round + 1, asked=True, asked_at=now,
-                       grants=frozenset(), refusals=frozenset(), soonest=NEVER, wake=now + lengths.patience)
+    one = one._replace(
+        known=max(one.known, term),
+        term=term,
+        round=one.round + 1,
+        asked=True,
+        asked_at=now,
+        grants=frozenset(),
+        refusals=frozenset(),
+        soonest=NEVER,
+        wake=now + lengths.patience,
+    )
     return one, (Ask(task, one.me, one.life, term, one.round, lengths.lease),)
 
 
 def granted(one: Contender, now: int, grant: Grant, lengths: Lengths) -> Contender:
     """A vote; with a majority of the round the lease holds until its length after the round was asked."""
     if (grant.life, grant.term, grant.round) != (one.life, one.term, one.round) or grant.voter not in one.voters:
-        return one      # of another life or round: what was released since must not count
+        return one  # of another life or round: what was released since must not count
     one = one._replace(grants=one.grants | {grant.voter})
     until = one.asked_at + lengths.lease
     if len(one.grants) >= one.majority and until > now and not one.leaving:
@@ -68,8 +78,9 @@
     return one
 
 
-def refused(one: Contender, now: int, refusal: Refusal, lengths: Lengths, task: int,
-            chance: float) -> tuple[Contender, Said]:
+def refused(
+    one: Contender, now: int, refusal: Refusal, lengths: Lengths, task: int, chance: float
+) -> tuple[Contender, Said]:
     """A refusal tells of higher terms, and from when the voter could vote otherwise."""
     if refusal.life != one.life or refusal.voter not in one.voters:
         return one, ()
@@ -100,13 +111,20 @@
     return one._replace(acting=max(one.acting, end)), end
 
 
-def _given_up(one: Contender, now: int, lengths: Lengths, task: int, chance: float,
-              wait: int) -> tuple[Contender, Said]:
+def _given_up(
+    one: Contender, now: int, lengths: Lengths, task: int, chance: float, wait: int
+) -> tuple[Contender, Said]:
     """Gives votes back that were no majority, and waits: as long as a voter said, and by chance up to a time that
     doubles from the patience to the lease, so that contenders don't duel."""
     spread = min(lengths.lease, lengths.patience << min(one.failed, 8))
-    return one._replace(round=one.round + 1, asked=False, grants=frozenset(), refusals=frozenset(),
-                        failed=one.failed + 1, wake=now + wait + 1 + int(chance * spread)), _release(one, task)
+    return one._replace(
+        round=one.round + 1,
+        asked=False,
+        grants=frozenset(),
+        refusals=frozenset(),
+        failed=one.failed + 1,
+        wake=now + wait + 1 + int(chance * spread),
+    ), _release(one, task)
 
 
 def _release(one: Contender, task: int) -> Said:
--- a/oakfork/leases/lengths.py
+++ b/oakfork/leases/lengths.py
@@ -3,14 +3,15 @@
 Two clocks may differ in rate: each runs between 1 - drift/1000 and 1 + drift/1000 of true time. So what one machine
 counts as `n` may be n * (1000 + drift) / (1000 - drift) on another, at most.
 """
+
 from typing import NamedTuple
 
 
 class Lengths(NamedTuple):
-    lease: int          # what a holder counts, from when it asked
-    drift: int          # per mille; 0 to 200
-    act: int            # the longest end of one act
-    longest: int        # of the leases that this file or the one before it allows
+    lease: int  # what a holder counts, from when it asked
+    drift: int  # per mille; 0 to 200
+    act: int  # the longest end of one act
+    longest: int  # of the leases that this file or the one before it allows
 
     def stretched(self, time: int) -> int:
         """At least as long on this clock as `time` on any other, whatever their rates; rounded up."""
--- a/oakfork/leases/messages.py
+++ b/oakfork/leases/messages.py
@@ -3,12 +3,13 @@
 Every message names its task by its number in the fleet file, and a contender by its gateway and its life: a number
 drawn anew at each start, so that an answer to an earlier life is nobody's.
 """
+
 from typing import Annotated
 
 import msgspec
 
 Small = Annotated[int, msgspec.Meta(ge=0, le=0xFFFF)]
-Time = Annotated[int, msgspec.Meta(ge=0, le=1 << 40)]       # tenths of a millisecond; three years
+Time = Annotated[int, msgspec.Meta(ge=0, le=1 << 40)]  # tenths of a millisecond; three years
 Number = Annotated[int, msgspec.Meta(ge=0, le=(1 << 63) - 1)]
 
 
@@ -18,6 +19,7 @@
 
 class Ask(Message, tag=1):
     """A contender wants the voter's vote for a term, or has it longer."""
+
     task: Small
     gateway: Small
     life: Number
@@ -29,7 +31,7 @@
 class Grant(Message, tag=2):
     task: Small
     voter: Small
-    life: Number        # of the contender
+    life: Number  # of the contender
     term: Number
     round: Number
 
@@ -39,12 +41,13 @@
     voter: Small
     life: Number
     round: Number
-    highest: Number     # term that the voter knows of
-    wait: Time          # until it could vote otherwise; 0: at once, for a higher term
+    highest: Number  # term that the voter knows of
+    wait: Time  # until it could vote otherwise; 0: at once, for a higher term
 
 
 class Release(Message, tag=4):
     """The contender will not act in that term any more."""
+
     task: Small
     gateway: Small
     life: Number
@@ -53,12 +56,14 @@
 
 class Free(Message, tag=5):
     """A hint to the contender that was refused last: the vote is free."""
+
     task: Small
     voter: Small
 
 
 class Hello(Message, tag=6):
     """A holder asks what it acts upon for its clock."""
+
     task: Small
     gateway: Small
     nonce: Number
@@ -67,16 +72,17 @@
 class Clock(Message, tag=7):
     task: Small
     nonce: Number
-    life: Number        # of what is acted upon
-    clock: Number       # its clock when it answered
+    life: Number  # of what is acted upon
+    clock: Number  # its clock when it answered
 
 
 class Act(Message, tag=8):
     """An act upon what has a guard: it has its effect before its end on the guard's clock, or never."""
+
     task: Small
     gateway: Small
-    life: Number        # of what is acted upon
-    holder: Number      # the holder's life
+    life: Number  # of what is acted upon
+    holder: Number  # the holder's life
     term: Number
     end: Time
     number: Number
@@ -86,6 +92,6 @@
     task: Small
     number: Number
     verdict: Small
-    highest: Number     # term that the guard has seen
+    highest: Number  # term that the guard has seen
     life: Number
     clock: Number
--- a/oakfork/leases/runner.py
+++ b/oakfork/leases/runner.py
@@ -2,6 +2,7 @@
 
 It owns the machines' states; whoever wants to act asks `may_act` each time and sends the act with the end it returns.
 """
+
 import random
 import time
 from typing import Any
@@ -14,8 +15,8 @@
 from oakfork.leases import fence, holder, voter
 from oakfork.leases.messages import Act, Acted, Ask, Clock, Free, Grant, Hello, Refusal, Release
 
-TASKS = ("allot", "survey", "drill")    # the table of tasks is this one: no more, whatever comes
-MOST_VIEWS = 1024   # of guards; the one not used for the longest goes
+TASKS = ("allot", "survey", "drill")  # the table of tasks is this one: no more, whatever comes
+MOST_VIEWS = 1024  # of guards; the one not used for the longest goes
 
 
 class Leases:
@@ -23,19 +24,29 @@
         self.file, self.me, self.post, self.log = file, me, post, log
         self.chance = random.SystemRandom()
         self.life = self.chance.getrandbits(62)
-        now, floor = clock(), time.time_ns() // 1_000_000   # terms begin above all that came before: docs/leases.md
-        self.votes = {task: voter.started(now, file.lengths, floor) for task in range(len(TASKS))} \
-            if me in file.voters else {}
-        self.ones = {task: holder.Contender(me, self.life, file.voters, wake=now + self._first())
-                     for task in range(len(TASKS))} if me in file.voters else {}
+        now, floor = clock(), time.time_ns() // 1_000_000  # terms begin above all that came before: docs/leases.md
+        self.votes = (
+            {task: voter.started(now, file.lengths, floor) for task in range(len(TASKS))} if me in file.voters else {}
+        )
+        self.ones = (
+            {task: holder.Contender(me, self.life, file.voters, wake=now + self._first()) for task in range(len(TASKS))}
+            if me in file.voters
+            else {}
+        )
         self.guards = {task: fence.Fence(self.chance.getrandbits(62)) for task in range(len(TASKS))}
-        self.views: dict[tuple[int, Any], fence.View] = {}      # (task, whom) -> its clock; bounded by MOST_VIEWS
-        self.hellos: dict[int, tuple[int, Any]] = {}            # nonce -> of whom; emptied by the answer, or 64 at most
+        self.views: dict[tuple[int, Any], fence.View] = {}  # (task, whom) -> its clock; bounded by MOST_VIEWS
+        self.hellos: dict[int, tuple[int, Any]] = {}  # nonce -> of whom; emptied by the answer, or 64 at most
         self.nudged = trio.Event()
-        self.held: dict[int, int] = {}      # task -> the term told of in the log
-        for kind, handler in ((Ask, self._asked), (Grant, self._granted), (Refusal, self._refused),
-                              (Release, self._released), (Free, self._freed), (Hello, self._hello),
-                              (Clock, self._clock)):
+        self.held: dict[int, int] = {}  # task -> the term told of in the log
+        for kind, handler in (
+            (Ask, self._asked),
+            (Grant, self._granted),
+            (Refusal, self._refused),
+            (Release, self._released),
+            (Free, self._freed),
+            (Hello, self._hello),
+            (Clock, self._clock),
+        ):
             post.handlers[kind] = handler
 
     def _first(self) -> int:
@@ -110,8 +121,9 @@
 
     def _refused(self, sender: int, refusal: Refusal) -> None:
         if refusal.task in self.ones and refusal.voter == sender:
-            self.ones[refusal.task], said = holder.refused(self.ones[refusal.task], clock(), refusal, self.file.lengths,
-                                                           refusal.task, self.chance.random())
+            self.ones[refusal.task], said = holder.refused(
+                self.ones[refusal.task], clock(), refusal, self.file.lengths, refusal.task, self.chance.random()
+            )
             self._say(said)
 
     def _freed(self, sender: int, free: Free) -> None:
@@ -184,8 +196,10 @@
             if may := self.leases.may_act("drill", self.target):
                 term, life, end = may
                 self.number += 1
-                self.leases.post.send_to(self.target, Act(TASKS.index("drill"), self.leases.me, life, self.leases.life,
-                                                          term, end, self.number))
+                self.leases.post.send_to(
+                    self.target,
+                    Act(TASKS.index("drill"), self.leases.me, life, self.leases.life, term, end, self.number),
+                )
 
     def _acted(self, sender: int, acted: Acted) -> None:
         if acted.verdict == list(fence.Verdict).index(fence.Verdict.STRANGE):
--- a/oakfork/leases/voter.py
+++ b/oakfork/leases/voter.py
@@ -4,6 +4,7 @@
 clock, for as long as the lease may last on any other. A voter that has started has forgotten whom it voted for, and
 abstains for as long.
 """
+
 from typing import NamedTuple
 
 from oakfork.leases.lengths import Lengths
@@ -13,13 +14,13 @@
 
 
 class Vote(NamedTuple):
-    abstains: int           # until then
-    highest: int            # term known of; grows
-    gateway: int = NOBODY   # who has the vote
+    abstains: int  # until then
+    highest: int  # term known of; grows
+    gateway: int = NOBODY  # who has the vote
     life: int = 0
     term: int = 0
-    until: int = 0          # the vote is given until then
-    waiting: int = NOBODY   # who was refused last, for a hint
+    until: int = 0  # the vote is given until then
+    waiting: int = NOBODY  # who was refused last, for a hint
 
 
 def started(now: int, lengths: Lengths, floor: int) -> Vote:
@@ -38,9 +39,14 @@
         vote = vote._replace(waiting=ask.gateway)
     elif ask.length <= lengths.longest and (same or ask.term > vote.highest):
         until = now + lengths.stretched(ask.length)
-        vote = vote._replace(gateway=ask.gateway, life=ask.life, term=ask.term, highest=ask.term,
-                             until=max(until, vote.until) if same else until,
-                             waiting=NOBODY if vote.waiting == ask.gateway else vote.waiting)
+        vote = vote._replace(
+            gateway=ask.gateway,
+            life=ask.life,
+            term=ask.term,
+            highest=ask.term,
+            until=max(until, vote.until) if same else until,
+            waiting=NOBODY if vote.waiting == ask.gateway else vote.waiting,
+        )
         return vote, Grant(ask.task, me, ask.life, ask.term, ask.round)
     return vote, Refusal(ask.task, me, ask.life, ask.round, vote.highest, wait)
 
--- a/oakfork/peerwire.py
+++ b/oakfork/peerwire.py
@@ -4,15 +4,16 @@
 the sender's life, the life it believes the receiver to be in (0: unknown), the frame's number, the sender's clock
 in milliseconds; then items of a fixed length a kind. No decision is taken here.
 """
+
 import struct
 from collections import deque
 from typing import Iterable, NamedTuple
 
 LARGEST = 256
-OLDEST, VERSION, AGAIN = 2, 3, 0x80    # frames with readings are of version 3, others of either
+OLDEST, VERSION, AGAIN = 2, 3, 0x80  # frames with readings are of version 3, others of either
 HEADER = struct.Struct("<BHHHH")
-UNIT = 16           # units travel in sixteenths
-PAUSE = 100         # waits travel in hundredths of a second (of tenths of a millisecond)
+UNIT = 16  # units travel in sixteenths
+PAUSE = 100  # waits travel in hundredths of a second (of tenths of a millisecond)
 
 
 class Ask(NamedTuple):
@@ -24,13 +25,13 @@
 
 class Answer(NamedTuple):
     serial: int
-    wait: int       # 0: yes; otherwise the time until the deficit is filled
+    wait: int  # 0: yes; otherwise the time until the deficit is filled
 
 
 class Return(NamedTuple):
     customer: int
     plan: int
-    units: float    # below 0 where the true units were more
+    units: float  # below 0 where the true units were more
 
 
 class Release(NamedTuple):
@@ -39,7 +40,7 @@
 
 
 class Reading(NamedTuple):
-    mark: int       # of a server
+    mark: int  # of a server
     seen: int
     age: int
 
@@ -50,25 +51,45 @@
     to_life: int
     number: int
     clock: int
-    again: bool         # the sender knew the receiver in an earlier life
+    again: bool  # the sender knew the receiver in an earlier life
     items: tuple
 
 
 Item = Ask | Answer | Return | Release | Reading
 ASK, ANSWER, RETURN, RELEASE, READING = 1, 2, 3, 4, 5
-LAYOUT = {ASK: struct.Struct("<HIBHH"), ANSWER: struct.Struct("<HH"), RETURN: struct.Struct("<IBHh"),
-          RELEASE: struct.Struct("<HIB"), READING: struct.Struct("<IHB")}
+LAYOUT = {
+    ASK: struct.Struct("<HIBHH"),
+    ANSWER: struct.Struct("<HH"),
+    RETURN: struct.Struct("<IBHh"),
+    RELEASE: struct.Struct("<HIB"),
+    READING: struct.Struct("<IHB"),
+}
 
 
 def pack_item(item: Item) -> bytes:
     if isinstance(item, Ask):
-        kind, values = ASK, (item.serial, item.customer & 0xFFFFFFFF, item.customer >> 32, item.plan,
-                             min(0xFFFF, max(0, round(item.units * UNIT))))
+        kind, values = (
+            ASK,
+            (
+                item.serial,
+                item.customer & 0xFFFFFFFF,
+                item.customer >> 32,
+                item.plan,
+                min(0xFFFF, max(0, round(item.units * UNIT))),
+            ),
+        )
     elif isinstance(item, Answer):
         kind, values = ANSWER, (item.serial, min(0xFFFF, -(-item.wait // PAUSE)))
     elif isinstance(item, Return):
-        kind, values = RETURN, (item.customer & 0xFFFFFFFF, item.customer >> 32, item.plan,
-                                min(0x7FFF, max(-0x7FFF, round(item.units * UNIT))))
+        kind, values = (
+            RETURN,
+            (
+                item.customer & 0xFFFFFFFF,
+                item.customer >> 32,
+                item.plan,
+                min(0x7FFF, max(-0x7FFF, round(item.units * UNIT))),
+            ),
+        )
     elif isinstance(item, Reading):
         kind, values = READING, (item.mark, min(0xFFFF, max(0, item.seen)), min(0xFF, max(0, item.age) // PAUSE))
     else:
@@ -76,8 +97,9 @@
     return bytes((kind,)) + LAYOUT[kind].pack(*values)
 
 
-def pack(life: int, to_life: int, number: int, clock: int, packed: list[bytes], again: bool = False,
-         version: int = OLDEST) -> bytes:
+def pack(
+    life: int, to_life: int, number: int, clock: int, packed: list[bytes], again: bool = False, version: int = OLDEST
+) -> bytes:
     return HEADER.pack(version | AGAIN * again, life, to_life, number, clock & 0xFFFF) + b"".join(packed)
 
 
@@ -101,7 +123,7 @@
     def __init__(self) -> None:
         self.latest: int | None = None
         self.seen = 0
-        self.skew: int | None = None    # the least difference of clocks seen: a frame without delay
+        self.skew: int | None = None  # the least difference of clocks seen: a frame without delay
 
     def fresh(self, number: int) -> bool:
         if self.latest is None:
--- a/oakfork/serving.py
+++ b/oakfork/serving.py
@@ -1,4 +1,5 @@
 """Serves as one real gateway, told by its environment where it stands."""
+
 import gc
 import json
 import os
@@ -15,6 +16,7 @@
     """Where the configuration can't be read: what is wrong, each by its path, if the library is there and finds it."""
     try:
         from oakfork.format import faults_in
+
         with open(os.environ["LB_CONFIG"], "rb") as file:
             return faults_in(json.load(file))
     except (ImportError, OSError, KeyError, ValueError, RecursionError):
--- a/oakfork/sockets/clients.py
+++ b/oakfork/sockets/clients.py
@@ -1,4 +1,5 @@
 """The clients' side: takes connections in, reads RPCs, writes answers."""
+
 import contextlib
 import errno
 import itertools
@@ -17,12 +18,12 @@
 from oakfork.sockets.messages import Came, Left, Told, tell
 
 BACKLOG = 512
-SPARED = 0.25       # seconds that a connection stays open after its start or last answer, if there is room or not
-PATIENCE = 2.0      # seconds for a whole request once begun or connected
-IDLE = 2.0          # seconds that a connection stays open after its last answer: some clients hold theirs for good
-LINGERING = 1.0     # seconds that a half-closed connection is still read, so that no reset overtakes its last answer
-LULL = 0.01         # seconds between reads of what is thrown away: 6 MB/s of it at most from one client
-METHODS = frozenset((b"GET", b"POST", b"PUT", b"PATCH", b"DELETE"))    # whose answers have plain bodies
+SPARED = 0.25  # seconds that a connection stays open after its start or last answer, if there is room or not
+PATIENCE = 2.0  # seconds for a whole request once begun or connected
+IDLE = 2.0  # seconds that a connection stays open after its last answer: some clients hold theirs for good
+LINGERING = 1.0  # seconds that a half-closed connection is still read, so that no reset overtakes its last answer
+LULL = 0.01  # seconds between reads of what is thrown away: 6 MB/s of it at most from one client
+METHODS = frozenset((b"GET", b"POST", b"PUT", b"PATCH", b"DELETE"))  # whose answers have plain bodies
 PLAIN_STATUS = {Ending.MALFORMED: 400, Ending.OVERSIZED: 413, Ending.SILENT: 408}
 
 
@@ -31,16 +32,23 @@
     accepted. Over three quarters of that lingering and idle ones make room, and at the bound an answer is its
     connection's last."""
 
-    def __init__(self, here: Surroundings, sock: socket.socket, most: int, queue: trio.MemorySendChannel[Told],
-                 nursery: trio.Nursery, log: BoundLogger) -> None:
+    def __init__(
+        self,
+        here: Surroundings,
+        sock: socket.socket,
+        most: int,
+        queue: trio.MemorySendChannel[Told],
+        nursery: trio.Nursery,
+        log: BoundLogger,
+    ) -> None:
         self.here, self.most, self.queue, self.nursery, self.log = here, most, queue, nursery, log
         self.many = most * 3 // 4
-        self.leaving = self.full = self.shut = False    # shut: no connection is taken any more
+        self.leaving = self.full = self.shut = False  # shut: no connection is taken any more
         self.open: set[Client] = set()
-        self.idle: dict[Client, float] = {}     # of those, with nothing begun: since when, the longest first
-        self.lingering: dict[Client, None] = {}     # of those, half-closed by us, the first one first
-        self.ids: dict[bytes, Exchange] = {}    # the RPCs that are not answered yet
-        self.empty = trio.Event()       # set once it is shut and all connections are closed
+        self.idle: dict[Client, float] = {}  # of those, with nothing begun: since when, the longest first
+        self.lingering: dict[Client, None] = {}  # of those, half-closed by us, the first one first
+        self.ids: dict[bytes, Exchange] = {}  # the RPCs that are not answered yet
+        self.empty = trio.Event()  # set once it is shut and all connections are closed
         self.accepting = trio.CancelScope()
         self.sock = sock
         self.sock.listen(BACKLOG)
@@ -50,14 +58,14 @@
             while True:
                 await trio.lowlevel.wait_readable(self.sock)
                 if len(self.open) >= self.most:
-                    if not self.full:       # said once, until there is some room again
+                    if not self.full:  # said once, until there is some room again
                         self.log.warning("no room for a client", connections=len(self.open))
                     self.full = True
                     while len(self.open) >= self.most:
                         self._make_room(1 + self.most // 16)
                         await trio.sleep(0.02)
                 if self._accept() in (errno.EMFILE, errno.ENFILE, errno.ENOMEM, errno.ENOBUFS):
-                    await trio.sleep(0.02)      # until others have closed theirs
+                    await trio.sleep(0.02)  # until others have closed theirs
         # Guards against connections that the system has accepted and the close of the listener would reset.
         self._accept()
         self.sock.close()
@@ -76,7 +84,7 @@
     def _take_in(self, sock: socket.socket) -> None:
         try:
             client = Client(self, sock)
-        except OSError:     # gone already
+        except OSError:  # gone already
             sock.close()
             return
         self.open.add(client)
@@ -145,13 +153,13 @@
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self.all = all_clients
         self.link = Link(sock, h11.SERVER)
-        self.scope = trio.CancelScope()     # cancelled when the connection is to be closed, or is to linger no more
-        self.fresh = True       # nothing whole has come on it
-        self.exchange: Exchange | None = None   # not answered yet
-        self.since = trio.current_time()    # its start or last answer
-        self.behind = False     # the end of an answer is still being written
+        self.scope = trio.CancelScope()  # cancelled when the connection is to be closed, or is to linger no more
+        self.fresh = True  # nothing whole has come on it
+        self.exchange: Exchange | None = None  # not answered yet
+        self.since = trio.current_time()  # its start or last answer
+        self.behind = False  # the end of an answer is still being written
         self.caught_up = trio.Event()
-        self.flooded = False    # it sent so much behind an RPC that the rest is thrown away
+        self.flooded = False  # it sent so much behind an RPC that the rest is thrown away
 
     async def serve(self) -> None:
         gone = False
@@ -166,7 +174,7 @@
             gone = True
         finally:
             self.all.idle.pop(self, None)
-            if self.exchange:   # it has gone from here on, before anything else is done
+            if self.exchange:  # it has gone from here on, before anything else is done
                 self.exchange.waiting.remove(self._answer)
                 if not self.exchange.waiting:
                     del self.all.ids[self.exchange.id]
@@ -190,7 +198,7 @@
                     return
                 continue
             if self.link.buffered > LARGEST_BODY and self.behind:
-                self.caught_up = trio.Event()   # it sends on and does not read: no more is taken for now
+                self.caught_up = trio.Event()  # it sends on and does not read: no more is taken for now
                 await self.caught_up.wait()
             if not await self.link.fill():
                 return
@@ -213,7 +221,7 @@
         """Lingering close (RFC 9112, 9.6): half-closes, and reads and throws away until the client ends its side too.
         Guards against the reset that a close over unread bytes sends: it can destroy the answer written just before.
         What is read here is never sent on: for the client the close crossed its request, which it sends anew."""
-        if self.behind:     # an answer is still being written, within a time of its own
+        if self.behind:  # an answer is still being written, within a time of its own
             self.caught_up = trio.Event()
             await self.caught_up.wait()
         self.link.end_sending()
@@ -276,7 +284,7 @@
                 # Guards against a close that crossed the request: the client sends it anew while it is still held
                 # here. It runs once, and its answer goes to each connection that still waits.
                 self.exchange.waiting.append(self._answer)
-            else:       # another request under that id: a server would take it for a second copy
+            else:  # another request under that id: a server would take it for a second copy
                 self.exchange = None
                 self._write(Answer(409, last=True))
 
@@ -286,7 +294,7 @@
         self.caught_up.set()
         try:
             self._write(answer)
-            if self.link.buffered and not self.behind:      # the next request came before this answer
+            if self.link.buffered and not self.behind:  # the next request came before this answer
                 self._go_on()
         except Break:
             self.scope.cancel()
@@ -299,7 +307,7 @@
         if answer.content_type:
             headers.append((b"content-type", answer.content_type))
         if answer.retry_after:
-            whole = answer.retry_after == int(answer.retry_after)     # as RFC 9110 has it; decimals only where needed
+            whole = answer.retry_after == int(answer.retry_after)  # as RFC 9110 has it; decimals only where needed
             headers.append((b"retry-after", (b"%d" if whole else b"%.3f") % answer.retry_after))
         last = answer.last or self.flooded or self.all.leaving or len(self.all.open) >= self.all.most
         if last:
--- a/oakfork/sockets/configuration.py
+++ b/oakfork/sockets/configuration.py
@@ -1,4 +1,5 @@
 """What the operators tell a gateway when it starts: where the others are, and the module's Birth."""
+
 import json
 from dataclasses import dataclass
 from typing import Any, Callable, Mapping, TypeVar
@@ -14,6 +15,7 @@
 @dataclass(frozen=True, slots=True)
 class Names:
     """The indices of what the settings list by name."""
+
     methods: Mapping[bytes, int]
     plans: Mapping[bytes, int]
     zones: Mapping[str, int]
@@ -22,6 +24,7 @@
 @dataclass(frozen=True, slots=True)
 class Surroundings:
     """Where a gateway stands, what it may hold and whom it talks to. Times are seconds."""
+
     name: str
     listen: Address
     discovery: Address
@@ -30,12 +33,12 @@
     peers: tuple[Address, ...]
     peers_all: Address | None
     sockets: int
-    memory: int         # bytes
+    memory: int  # bytes
     connect_patience: float
     idle_patience: float
     count_patience: float
     longest_deadline: float
-    tick: int           # tenths of a millisecond: the module's timers need not be finer
+    tick: int  # tenths of a millisecond: the module's timers need not be finer
     known: Mapping[str, Any]
     names: Names
     birth: Birth
@@ -90,17 +93,25 @@
         return {name.encode(): number for name, number in numbers.items()}
 
     return Surroundings(
-        name=str(told.get("name", "")), listen=address(told["listen"]), discovery=address(told["discovery"]),
+        name=str(told.get("name", "")),
+        listen=address(told["listen"]),
+        discovery=address(told["discovery"]),
         counter=_place(told, "counter") if specifics.get("shared-counter") else None,
         peer_listen=_place(told, "peer_listen") if birth.peers else None,
-        peers=tuple(address(text) for text in told.get("peers", ())), peers_all=_place(told, "peers_all"),
+        peers=tuple(address(text) for text in told.get("peers", ())),
+        peers_all=_place(told, "peers_all"),
         sockets=int(told.get("limits", {}).get("sockets", 1024)),
         memory=int(told.get("limits", {}).get("memory_mb", 64) * 1024 * 1024),
         connect_patience=limits.get("connect-timeout-ms", 250.0) / 1000,
         idle_patience=limits.get("conn-idle-ms", 15_000.0) / 1000,
         count_patience=specifics.get("count-limit-ms", 50.0) / 1000,
         longest_deadline=max((method.deadline for method in birth.methods), default=0) / 10_000,
-        tick=tenths(info.get("tick-ms", 1.0)), known=known,
-        names=Names(encoded(numbered(info.get("classes", ()), "name")),
-                    encoded(numbered(info.get("tiers-of-service", ()), "name")), numbered(info.get("zones", ()))),
-        birth=birth)
+        tick=tenths(info.get("tick-ms", 1.0)),
+        known=known,
+        names=Names(
+            encoded(numbered(info.get("classes", ()), "name")),
+            encoded(numbered(info.get("tiers-of-service", ()), "name")),
+            numbered(info.get("zones", ())),
+        ),
+        birth=birth,
+    )
--- a/oakfork/sockets/counter.py
+++ b/oakfork/sockets/counter.py
@@ -1,4 +1,5 @@
 """Calls to the counter: written one behind another on one connection, answered in their order."""
+
 import math
 from collections import deque
 
@@ -11,7 +12,7 @@
 from oakfork.sockets.heads import Link, Message, connect, plain
 from oakfork.sockets.messages import Told, tell
 
-MOST_WAITING = 256      # calls not yet written; one more is answered as if there were no connection
+MOST_WAITING = 256  # calls not yet written; one more is answered as if there were no connection
 
 
 class Counter:
@@ -20,8 +21,8 @@
     def __init__(self, here: Surroundings, queue: trio.MemorySendChannel[Told]) -> None:
         self.here, self.queue = here, queue
         self.address = here.counter
-        self.turned = False     # the connection leads to where the counter was
-        self.calls: deque[tuple[face.Count, float]] = deque()      # emptied by run, or after the patience
+        self.turned = False  # the connection leads to where the counter was
+        self.calls: deque[tuple[face.Count, float]] = deque()  # emptied by run, or after the patience
         self.more = trio.Event()
 
     def count(self, call: face.Count) -> bool:
@@ -43,7 +44,7 @@
             self.more = trio.Event()
             while self.calls:
                 call, until = self.calls.popleft()
-                if link is not None and (self.turned or not link.lively()):     # the counter closes idle connections
+                if link is not None and (self.turned or not link.lively()):  # the counter closes idle connections
                     link.close()
                     link = None
                 self.turned = False
@@ -55,7 +56,7 @@
         with trio.move_on_at(until):
             try:
                 link = link or await connect(self.address, self.here.count_patience)
-                ending = Ending.SILENT      # from here on it may have been added
+                ending = Ending.SILENT  # from here on it may have been added
                 target = f"/counters/{call.name:x}?by={call.amount:.6f}&expire_ms={max(1, call.kept_for // 10)}"
                 await link.write(plain("POST", target, self.address))
                 message = await link.read()
@@ -74,7 +75,7 @@
 
 def _result(message: Message) -> tuple[Ending, float]:
     if message.head.status_code != 200:
-        return Ending.TURNED_AWAY, 0.0      # 503, 400 and 404 alike: nothing was added
+        return Ending.TURNED_AWAY, 0.0  # 503, 400 and 404 alike: nothing was added
     try:
         total = float(message.body)
     except ValueError:
--- a/oakfork/sockets/discovery.py
+++ b/oakfork/sockets/discovery.py
@@ -1,4 +1,5 @@
 """Keeps up with the list of servers by watches, one after the other."""
+
 import json
 import random
 from typing import Any, Mapping
@@ -16,9 +17,9 @@
 # was given up just before. The longest way there: a watch that has gone silent (it looks like one with no news until
 # HOLD and PROMPT are over), the longest pause, a connection that comes up at last (UP), and an answer after PROMPT.
 TOLD = 6.0
-HOLD = 1.0      # seconds that a watch waits for something new
-PROMPT = 1.0    # and beyond that an agent, which answers at once, may take
-UP = 0.5        # seconds for a connection to the agent, however patient the settings are with servers
+HOLD = 1.0  # seconds that a watch waits for something new
+PROMPT = 1.0  # and beyond that an agent, which answers at once, may take
+UP = 0.5  # seconds for a connection to the agent, however patient the settings are with servers
 # Seconds before a broken watch is taken up again: twice as long after each failure, drawn from the upper half of that.
 # The longest is what is left of the six, less a tenth of a second for a busy machine. Where lists come on asking, the
 # module says when a call that was refused is made again.
@@ -31,9 +32,9 @@
         self.here, self.queue, self.log = here, queue, log
         self.address = here.discovery
         self.version = here.known.get("version")
-        self.asked = trio.Event()       # set while a watch is wanted
+        self.asked = trio.Event()  # set while a watch is wanted
         self.watching = trio.CancelScope()
-        self.broken = False             # told in the log once, until it goes on
+        self.broken = False  # told in the log once, until it goes on
         self.pause = PAUSE
         self.chance = random.Random(here.birth.seed)
         if not here.birth.asks_list:
@@ -50,7 +51,7 @@
                     if not self.broken:
                         self.log.warning("the watch of the server list broke", ending=end.ending.name, todo=end.todo)
                     self.broken = True
-                    if self.here.birth.asks_list and end.ending is Ending.ERROR:    # the module says when to ask again
+                    if self.here.birth.asks_list and end.ending is Ending.ERROR:  # the module says when to ask again
                         self.asked = trio.Event()
                         tell(self.queue, Listed(False, True, ()))
                         continue
@@ -107,7 +108,7 @@
         with trio.move_on_after(hold + PROMPT):
             await link.write(plain("GET", target, address))
             message = await link.read()
-            if address != self.address:     # that agent is ours no more: its version says nothing of the new one's
+            if address != self.address:  # that agent is ours no more: its version says nothing of the new one's
                 raise Break(Ending.GIVEN_UP)
             if message.head.status_code != 200:
                 raise Break(Ending.ERROR)
@@ -115,10 +116,10 @@
                 told = json.loads(message.body)
                 version, complete, servers = int(told["version"]), bool(told["full"]), list(told["servers"])
             except (ValueError, TypeError, KeyError, OverflowError, RecursionError):
-                self.version = None     # what was missed is not known: the whole list next
+                self.version = None  # what was missed is not known: the whole list next
                 raise Break(Ending.MALFORMED) from None
             if not hold and self.version is not None and version < self.version:
-                return      # read beside a watch that has been told more since
+                return  # read beside a watch that has been told more since
             # From here to the end nothing waits: a version that counts as read is told, whatever is cancelled.
             self.version, self.broken, self.pause = version, False, PAUSE
             if servers or complete:
--- a/oakfork/sockets/exchange.py
+++ b/oakfork/sockets/exchange.py
@@ -1,4 +1,5 @@
 """A client's RPC at the door: read from its head, answered once."""
+
 import re
 from typing import Callable, Mapping, NamedTuple
 
@@ -12,14 +13,29 @@
 from oakfork.sockets.heads import Header, Message, pairs
 
 # These speak of one connection (RFC 9110, 7.6.1), are written anew for the next, or are for the gateway alone.
-NOT_PASSED_ON = frozenset((b"connection", b"keep-alive", b"proxy-connection", b"te", b"trailer", b"transfer-encoding",
-                           b"upgrade", b"expect", b"content-length", b"x-remaining-ms",
-                           b"x-lane", b"x-tier", b"x-call-terms", b"x-resent"))
+NOT_PASSED_ON = frozenset(
+    (
+        b"connection",
+        b"keep-alive",
+        b"proxy-connection",
+        b"te",
+        b"trailer",
+        b"transfer-encoding",
+        b"upgrade",
+        b"expect",
+        b"content-length",
+        b"x-remaining-ms",
+        b"x-lane",
+        b"x-tier",
+        b"x-call-terms",
+        b"x-resent",
+    )
+)
 
 CLIENT = re.compile(rb"[?&]client=([^&]*)")
 CUSTOMER = re.compile(rb"[0-9a-fA-F]{16}")
-NUMBER = re.compile(rb"[0-9]{1,9}(?:\.[0-9]{1,9})?")     # float() would take 'nan', '1_0' and '1e3' as well
-LARGEST_CUSTOMER = 1 << 33      # PROTOCOL
+NUMBER = re.compile(rb"[0-9]{1,9}(?:\.[0-9]{1,9})?")  # float() would take 'nan', '1_0' and '1e3' as well
+LARGEST_CUSTOMER = 1 << 33  # PROTOCOL
 OURS = frozenset((b"x-txn", b"x-lane", b"x-tier", b"x-remaining-ms", b"x-call-terms", b"idempotency-key"))
 
 
@@ -27,12 +43,13 @@
     status: int
     body: bytes = b""
     content_type: bytes | None = None
-    retry_after: float = 0.0    # seconds; 0: no advice
-    last: bool = False          # nothing more is taken from that connection
+    retry_after: float = 0.0  # seconds; 0: no advice
+    last: bool = False  # nothing more is taken from that connection
 
 
 class CallOut:
     """One call-out of an RPC while it is out."""
+
     __slots__ = ("number", "server", "scope", "withdrawn", "begun", "written_by", "started")
 
     def __init__(self, number: int, server: int, until: float, written_by: float) -> None:
@@ -40,7 +57,7 @@
         self.scope = trio.CancelScope(deadline=until)
         self.written_by = written_by
         self.withdrawn = False
-        self.begun = False      # its first byte may have been written
+        self.begun = False  # its first byte may have been written
         self.started = trio.current_time()
 
     def withdraw(self) -> None:
@@ -63,12 +80,12 @@
     def __init__(self, message: Message, names: Names, birth: Birth, answer: Callable[[Answer], None]) -> None:
         self.received = trio.current_time()
         self.message = message
-        self.waiting = [answer]         # who is answered: the client's connection, and others it came again on
-        self.call_outs: dict[int, CallOut] = {}     # emptied as they end
+        self.waiting = [answer]  # who is answered: the client's connection, and others it came again on
+        self.call_outs: dict[int, CallOut] = {}  # emptied as they end
         self.sent = 0
-        self.taken = False              # its leg was taken from what contracts or the sites allow, and not given back
-        self.contract: int | None = None    # whose reserved capacity it is inside
-        rows = list(message.head.headers)   # h11 builds each row anew
+        self.taken = False  # its leg was taken from what contracts or the sites allow, and not given back
+        self.contract: int | None = None  # whose reserved capacity it is inside
+        rows = list(message.head.headers)  # h11 builds each row anew
         headers = dict(rows)
         if len(headers) < len(rows) and sum(row[0] in OURS for row in rows) > len(OURS & headers.keys()):
             raise BadRequest("a header of the protocol stands there twice")
@@ -80,14 +97,14 @@
             raise BadRequest("no X-Txn")
         row = birth.methods[self.method]
         if row.repeat == Repeat.DEDUPLICATED and not headers.get(b"idempotency-key"):
-            raise BadRequest("no Idempotency-Key")      # sent again, it would run twice
+            raise BadRequest("no Idempotency-Key")  # sent again, it would run twice
         # Guards against call-outs that stay for as long as a client says: nobody waits longer than the deadline.
         self.time_left = min(tenths(_number(headers.get(b"x-remaining-ms", b""), "X-Remaining-Ms")), row.deadline)
         self.until = self.received + self.time_left / 10_000
         self.units, self.first_gateway, self.spread = _terms(headers.get(b"x-call-terms", b""), birth)
         self.repeated = headers.get(b"x-resent") == b"1"
         self.headers: list[Header] = [row for row in rows if row[0] not in NOT_PASSED_ON]
-        if b"host" not in headers:      # HTTP/1.0 may leave it out
+        if b"host" not in headers:  # HTTP/1.0 may leave it out
             self.headers.append((b"host", b"unknown"))
         if message.body or message.head.method != b"GET":
             self.headers.append((b"content-length", b"%d" % len(message.body)))
@@ -100,6 +117,7 @@
 
     def same(self, other: "Exchange") -> bool:
         """Whether the other is this request sent anew, and no other one under the same id."""
+
         def told(exchange: Exchange) -> tuple:
             head = exchange.message.head
             return head.method, head.target, exchange.headers, exchange.message.body, exchange.method, exchange.plan
@@ -109,8 +127,11 @@
     def passed_on(self, left: float) -> h11.Request:
         """The head for a server that is waited for so many seconds."""
         head = self.message.head
-        return h11.Request(method=head.method, target=head.target,
-                           headers=[*self.headers, (b"x-remaining-ms", b"%d" % max(0, left * 1000))])
+        return h11.Request(
+            method=head.method,
+            target=head.target,
+            headers=[*self.headers, (b"x-remaining-ms", b"%d" % max(0, left * 1000))],
+        )
 
 
 def _customer(target: bytes) -> int:
@@ -144,7 +165,7 @@
     first = _number(terms.get(b"first", b"0"), "first")
     spread = _number(terms.get(b"spread", b"%d" % birth.gateways), "spread")
     whole = first == int(first) and spread == int(spread)
-    whole = whole and len(terms) == len(rows)   # nor told twice
+    whole = whole and len(terms) == len(rows)  # nor told twice
     if not (0 < units <= birth.most_units and whole and first < birth.gateways and 1 <= spread <= birth.gateways):
         raise BadRequest("X-Call-Terms are out of range")
     return units, int(first), int(spread)
--- a/oakfork/sockets/gateway.py
+++ b/oakfork/sockets/gateway.py
@@ -1,4 +1,5 @@
 """Puts the parts of a gateway together, turns them to new addresses on SIGHUP, takes it out of service on SIGTERM."""
+
 import logging
 import math
 import os
@@ -26,27 +27,33 @@
 if TYPE_CHECKING:
     from oakfork.fleet.part import Part
 
-OTHERS = 24         # descriptors for the other parties and the interpreter: twelve were seen, more where lists are read
-ANSWERS = 64        # an answer may take that part of the memory: a third is the program's, few are so large at once
-LINGER = 0.6        # seconds after SIGTERM in which new connections are still taken: they come for 0.4 s
+OTHERS = 24  # descriptors for the other parties and the interpreter: twelve were seen, more where lists are read
+ANSWERS = 64  # an answer may take that part of the memory: a third is the program's, few are so large at once
+LINGER = 0.6  # seconds after SIGTERM in which new connections are still taken: they come for 0.4 s
 # A new configuration that is not usable is read again so often, so many seconds apart: it may be half written. What it
 # says counts four seconds after SIGHUP.
 READINGS, BETWEEN = 13, 0.25
-MARGIN = 0.7        # seconds beyond the longest deadline after which it ends in any case, as in PROTOCOL
+MARGIN = 0.7  # seconds beyond the longest deadline after which it ends in any case, as in PROTOCOL
 
 
 def logger(name: str) -> BoundLogger:
     structlog.configure(
-        processors=[structlog.processors.add_log_level, structlog.processors.format_exc_info,
-                    structlog.processors.TimeStamper(fmt="iso"), structlog.processors.JSONRenderer()],
+        processors=[
+            structlog.processors.add_log_level,
+            structlog.processors.format_exc_info,
+            structlog.processors.TimeStamper(fmt="iso"),
+            structlog.processors.JSONRenderer(),
+        ],
         wrapper_class=structlog.make_filtering_bound_logger(logging.INFO),
-        logger_factory=structlog.PrintLoggerFactory(sys.stderr), cache_logger_on_first_use=True)
+        logger_factory=structlog.PrintLoggerFactory(sys.stderr),
+        cache_logger_on_first_use=True,
+    )
     return structlog.get_logger(gateway=name)
 
 
 async def run(here: Surroundings) -> None:
     log = logger(here.name)
-    queue, inbox = trio.open_memory_channel(math.inf)     # see messages.tell
+    queue, inbox = trio.open_memory_channel(math.inf)  # see messages.tell
     try:
         listener = bound(socket.SOCK_STREAM, here.listen)
         datagrams = bound(socket.SOCK_DGRAM, here.peer_listen) if here.peer_listen else None
@@ -67,9 +74,10 @@
             discovery = Discovery(here, queue, log)
             peers = Peers(here, datagrams, queue) if datagrams else None
             counter = Counter(here, queue) if here.counter else None
-            keeper = Keeper(here, inbox, queue, servers, discovery, peers, counter, nursery, log,
-                            fleet.contracts if fleet else None)
-            told_by_fleet = fleet is not None and fleet.agent is not None   # of the servers, in discovery's place
+            keeper = Keeper(
+                here, inbox, queue, servers, discovery, peers, counter, nursery, log, fleet.contracts if fleet else None
+            )
+            told_by_fleet = fleet is not None and fleet.agent is not None  # of the servers, in discovery's place
             for part in (keeper, clients, servers, None if told_by_fleet else discovery, peers, counter):
                 if part is not None:
                     nursery.start_soon(part.run)
@@ -100,11 +108,18 @@
     if not path:
         return None
     from oakfork.fleet.part import Part
+
     return Part(path, here, log, lambda servers: tell(queue, Listed(False, False, servers)))
 
 
-async def _heed(signals: AsyncIterator[int], to_leave: trio.Event, discovery: Discovery, counter: Counter | None,
-                fleet: "Part | None", log: BoundLogger) -> None:
+async def _heed(
+    signals: AsyncIterator[int],
+    to_leave: trio.Event,
+    discovery: Discovery,
+    counter: Counter | None,
+    fleet: "Part | None",
+    log: BoundLogger,
+) -> None:
     """Takes signals until the end of the process, while it leaves too: one that nobody takes would end it."""
     async with trio.open_nursery() as nursery:
         if early.taken():
--- a/oakfork/sockets/heads.py
+++ b/oakfork/sockets/heads.py
@@ -1,4 +1,5 @@
 """HTTP/1.1 on one connection: h11 parses heads where they were received, writes are gathered."""
+
 import contextlib
 import errno
 import socket
@@ -10,10 +11,10 @@
 from oakfork.errors import AddressTaken, Break
 from oakfork.sockets.endings import Ending
 
-LARGEST_BODY = 64 * 1024    # PROTOCOL: a body holds 64 KiB at most; servers have been seen to say more
+LARGEST_BODY = 64 * 1024  # PROTOCOL: a body holds 64 KiB at most; servers have been seen to say more
 LARGEST_HEAD = 16 * 1024
 READ = 64 * 1024
-PIECES = 512                # of a gathered write; Linux takes 1,024
+PIECES = 512  # of a gathered write; Linux takes 1,024
 
 Header = tuple[bytes, bytes]
 
@@ -61,13 +62,14 @@
     """A connection and what h11 knows of it. The socket doesn't block: a task waits only where there is nothing to
     read or no room to write, which spares the checkpoint after each call that trio's own sockets have."""
 
-    def __init__(self, sock: socket.socket, role: type[h11.CLIENT] | type[h11.SERVER],
-                 largest: int = LARGEST_BODY) -> None:
+    def __init__(
+        self, sock: socket.socket, role: type[h11.CLIENT] | type[h11.SERVER], largest: int = LARGEST_BODY
+    ) -> None:
         self.sock = sock
-        self.largest = largest      # body
+        self.largest = largest  # body
         self.http = h11.Connection(role, max_incomplete_event_size=LARGEST_HEAD)
-        self.buffered = 0       # bytes received that are not of a whole message yet
-        self.head: h11.Request | h11.Response | None = None    # of the message being read
+        self.buffered = 0  # bytes received that are not of a whole message yet
+        self.head: h11.Request | h11.Response | None = None  # of the message being read
         self.body: list[bytes] = []
         self.size = 0
 
@@ -89,7 +91,7 @@
         """Receives what is there without waiting; whether there was something."""
         try:
             data = self.sock.recv(READ)
-        except OSError:     # nothing there, or broken, which the next wait tells
+        except OSError:  # nothing there, or broken, which the next wait tells
             return False
         self.buffered += len(data)
         self.http.receive_data(data)
@@ -111,7 +113,7 @@
 
     def end_sending(self) -> None:
         """Half-closes: the other side sees the end behind all that was written."""
-        with contextlib.suppress(OSError):      # it is gone already
+        with contextlib.suppress(OSError):  # it is gone already
             self.sock.shutdown(socket.SHUT_WR)
 
     def parse(self) -> Message | None:
@@ -163,13 +165,13 @@
                 if body:
                     chunks += self.http.send_with_data_passthrough(h11.Data(data=body))
                 chunks += self.http.send_with_data_passthrough(h11.EndOfMessage())
-        except h11.LocalProtocolError:      # not to be said on this connection, as it stands
+        except h11.LocalProtocolError:  # not to be said on this connection, as it stands
             raise Break(Ending.UNSENT) from None
         return self._push([memoryview(chunk) for chunk in chunks if chunk])
 
     async def drain(self, left: list[memoryview]) -> None:
         while left:
-            if self.sock.fileno() < 0:      # closed before this task had its turn
+            if self.sock.fileno() < 0:  # closed before this task had its turn
                 raise Break(Ending.UNSENT)
             await trio.lowlevel.wait_writable(self.sock)
             left = self._push(left)
--- a/oakfork/sockets/keeper.py
+++ b/oakfork/sockets/keeper.py
@@ -1,4 +1,5 @@
 """The one task that owns the decision module, its clock and its timers. Others reach it through a queue only."""
+
 import heapq
 import math
 import time
@@ -24,28 +25,37 @@
 if TYPE_CHECKING:
     from oakfork.contracts.runner import Contracts
 
-TOO_SHORT = 5   # tenths of a millisecond: less than a sleep and its wake-up take on a busy machine
+TOO_SHORT = 5  # tenths of a millisecond: less than a sleep and its wake-up take on a busy machine
 STATES = {"up": face.State.READY, "draining": face.State.DRAINING, "removed": face.State.GONE}
 
 
 class Keeper:
     """Turns what it is told into events, and the module's commands into work of other tasks."""
 
-    def __init__(self, here: Surroundings, inbox: trio.MemoryReceiveChannel[Told],
-                 queue: trio.MemorySendChannel[Told], servers: Servers, discovery: Discovery, peers: Peers | None,
-                 counter: Counter | None, nursery: trio.Nursery, log: BoundLogger,
-                 contracts: "Contracts | None" = None) -> None:
-        self.contracts = contracts      # who says what is reserved; None where there are none
+    def __init__(
+        self,
+        here: Surroundings,
+        inbox: trio.MemoryReceiveChannel[Told],
+        queue: trio.MemorySendChannel[Told],
+        servers: Servers,
+        discovery: Discovery,
+        peers: Peers | None,
+        counter: Counter | None,
+        nursery: trio.Nursery,
+        log: BoundLogger,
+        contracts: "Contracts | None" = None,
+    ) -> None:
+        self.contracts = contracts  # who says what is reserved; None where there are none
         self.here, self.inbox, self.queue, self.servers = here, inbox, queue, servers
         self.discovery, self.peers, self.counter, self.nursery, self.log = discovery, peers, counter, nursery, log
-        self.epoch = time.time() - trio.current_time()     # the module's clock counts as Unix time does
+        self.epoch = time.time() - trio.current_time()  # the module's clock counts as Unix time does
         self.door: Door[Exchange, str] = Door()
-        self.starts: list[tuple[Address, int]] = []         # by the server's index: where and since when it runs
-        self.wakes: list[tuple[int, int]] = []              # when, token; emptied as they come
-        self.alarm = trio.CancelScope()                     # comes when the first of them is due
+        self.starts: list[tuple[Address, int]] = []  # by the server's index: where and since when it runs
+        self.wakes: list[tuple[int, int]] = []  # when, token; emptied as they come
+        self.alarm = trio.CancelScope()  # comes when the first of them is due
         self.latest = 0
         self.grain = 2 * here.tick
-        self.own: deque[face.Event] = deque()               # events that the commands themselves cause
+        self.own: deque[face.Event] = deque()  # events that the commands themselves cause
         self.with_load = here.birth.report_how == "on_probe"
         self.brain = Brain(here.birth, self.now())
         self._handle(face.ServerList(True, False, self._entries(rows(here.known))))
@@ -62,11 +72,11 @@
     async def run(self) -> None:
         self._wake()
         async for told in self.inbox:
-            while True:     # all that is there, with one turn of the scheduler
+            while True:  # all that is there, with one turn of the scheduler
                 if told is not None:
                     try:
                         self._take(told)
-                    except Exception:   # what fails over one of them costs no other
+                    except Exception:  # what fails over one of them costs no other
                         self.log.exception("the keeper failed", told_type=type(told).__name__)
                 try:
                     told = self.inbox.receive_nowait()
@@ -79,7 +89,7 @@
         while True:
             with self.alarm:
                 await trio.sleep_forever()
-            self.alarm = trio.CancelScope()     # the keeper sets it anew
+            self.alarm = trio.CancelScope()  # the keeper sets it anew
             tell(self.queue, None)
 
     def _wake(self) -> None:
@@ -88,7 +98,7 @@
         while self.wakes and self.wakes[0][0] <= self._real() + TOO_SHORT:
             due, token = heapq.heappop(self.wakes)
             if self.wakes and self.wakes[0][1] == token and self.wakes[0][0] <= self._real():
-                continue    # the same again
+                continue  # the same again
             self.latest = max(self.latest, due)
             self._handle(face.TimeCame(token))
         self.alarm.deadline = (self.wakes[0][0] + self.grain) / 10_000 - self.epoch if self.wakes else math.inf
@@ -100,10 +110,21 @@
                     return
                 index = self.door.admit(exchange)
                 waited = int((trio.current_time() - exchange.received) * 10_000)
-                self._handle(face.Arrival(index, exchange.customer, exchange.method, exchange.plan, exchange.units,
-                                          exchange.first_gateway, exchange.spread,
-                                          max(0, exchange.time_left - waited), exchange.repeated,
-                                          exchange.contract is not None), index)
+                self._handle(
+                    face.Arrival(
+                        index,
+                        exchange.customer,
+                        exchange.method,
+                        exchange.plan,
+                        exchange.units,
+                        exchange.first_gateway,
+                        exchange.spread,
+                        max(0, exchange.time_left - waited),
+                        exchange.repeated,
+                        exchange.contract is not None,
+                    ),
+                    index,
+                )
             case Left(exchange):
                 self._ended(exchange)
                 index = self.door.rpcs.get(exchange)
@@ -123,11 +144,22 @@
         ticket = self.door.tickets[index]
         exchange.call_outs.pop(call_out.number, None)
         ticket.out -= 1
-        if ending is Ending.ANSWERED:   # the first answer goes to the client by itself
+        if ending is Ending.ANSWERED:  # the first answer goes to the client by itself
             self._finish(index, Answer(200, message.body, message.header(b"content-type")))
         elapsed = int((trio.current_time() - call_out.started) * 10_000)
-        self._handle(face.CallOutEnded(index, call_out.number, call_out.server, elapsed, STATUS[ending], ticket.over,
-                                       0.0, self.servers.load(message)), index)
+        self._handle(
+            face.CallOutEnded(
+                index,
+                call_out.number,
+                call_out.server,
+                elapsed,
+                STATUS[ending],
+                ticket.over,
+                0.0,
+                self.servers.load(message),
+            ),
+            index,
+        )
 
     def _handle(self, event: face.Event, index: int | None = None) -> None:
         """Has the module decide, and carries out what it says."""
@@ -137,7 +169,7 @@
             event = self.own.popleft()
             try:
                 commands = self.brain.handle(self.now(), event)
-            except Exception:   # a decision that fails costs its own RPC, not all that this gateway holds
+            except Exception:  # a decision that fails costs its own RPC, not all that this gateway holds
                 self.log.exception("the decision module failed", event_type=type(event).__name__)
                 commands = [face.Abort(index)] if index is not None and self.door.tickets[index] else []
             for command in commands:
@@ -217,8 +249,9 @@
         exchange = ticket.true_id
         end = min(exchange.until, until / 10_000 - self.epoch) if until else exchange.until
         # A millisecond more: the module is to hear of it when its deadline is past, not just before.
-        call_out = CallOut(exchange.sent, server, end + 0.001,
-                           written_by / 10_000 - self.epoch if written_by else math.inf)
+        call_out = CallOut(
+            exchange.sent, server, end + 0.001, written_by / 10_000 - self.epoch if written_by else math.inf
+        )
         exchange.sent += 1
         if ticket.over or end <= trio.current_time():
             status = STATUS[Ending.TOO_LATE]
@@ -235,9 +268,12 @@
                 ending = Ending.TOO_LATE
             else:
                 ending, message = await self.servers.call(
-                    call_out.server, self.starts[call_out.server][0],
-                    lambda: exchange.passed_on(call_out.scope.deadline - trio.current_time()), exchange.message.body,
-                    call_out)
+                    call_out.server,
+                    self.starts[call_out.server][0],
+                    lambda: exchange.passed_on(call_out.scope.deadline - trio.current_time()),
+                    exchange.message.body,
+                    call_out,
+                )
         if call_out.scope.cancelled_caught:
             if call_out.begun:
                 ending = Ending.GIVEN_UP if call_out.withdrawn else Ending.SILENT
@@ -263,7 +299,7 @@
             except (KeyError, TypeError, ValueError, AttributeError, OverflowError, ConfigurationError):
                 self.log.warning("an entry of the server list is not usable", entry=str(row)[:200])
                 continue
-            if place is None and name not in self.door.servers:     # removed before it was known
+            if place is None and name not in self.door.servers:  # removed before it was known
                 continue
             index = self.door.server(name)
             if index == len(self.starts):
--- a/oakfork/sockets/messages.py
+++ b/oakfork/sockets/messages.py
@@ -1,4 +1,5 @@
 """What the socket code tells the keeper through its queue. What needs no id at the door goes as the module's event."""
+
 from typing import Any, Mapping, NamedTuple, Sequence
 
 import trio
@@ -15,6 +16,7 @@
 
 class Left(NamedTuple):
     """The client has gone away."""
+
     exchange: Exchange
 
 
@@ -28,7 +30,7 @@
 class Listed(NamedTuple):
     complete: bool
     failed: bool
-    servers: Sequence[Mapping[str, Any]]    # as discovery words them
+    servers: Sequence[Mapping[str, Any]]  # as discovery words them
 
 
 # None: a timer of the keeper's is due.
--- a/oakfork/sockets/peers.py
+++ b/oakfork/sockets/peers.py
@@ -1,4 +1,5 @@
 """Datagrams between gateways."""
+
 import socket
 
 import trio
@@ -8,7 +9,7 @@
 from oakfork.sockets.configuration import Surroundings
 from oakfork.sockets.messages import Told, tell_datagram
 
-EVERYONE = 0xFFFF   # the module's number for all gateways of the tier
+EVERYONE = 0xFFFF  # the module's number for all gateways of the tier
 
 
 class Peers:
@@ -23,18 +24,19 @@
             await trio.lowlevel.wait_readable(self.sock)
             try:
                 data, sender = self.sock.recvfrom(LARGEST + 1)
-            except OSError:     # nothing after all, or an earlier datagram of ours found nobody there
+            except OSError:  # nothing after all, or an earlier datagram of ours found nobody there
                 continue
             if sender in self.numbers:
                 tell_datagram(self.queue, face.PeerFrame(self.numbers[sender], data))
 
     def tell(self, peer: int, data: bytes) -> None:
         """Sends at once or not at all."""
-        address = self.here.peers_all if peer == EVERYONE else \
-            self.here.peers[peer] if peer < len(self.here.peers) else None
+        address = (
+            self.here.peers_all if peer == EVERYONE else self.here.peers[peer] if peer < len(self.here.peers) else None
+        )
         if address is None or len(data) > LARGEST:
             return
         try:
             self.sock.sendto(data, address)
-        except OSError:     # no room in the buffer, or nobody there: lost, as any datagram may be
+        except OSError:  # no room in the buffer, or nobody there: lost, as any datagram may be
             pass
--- a/oakfork/sockets/servers.py
+++ b/oakfork/sockets/servers.py
@@ -1,4 +1,5 @@
 """Connections to the servers: call-outs and probes, each on a connection of its own while it lasts."""
+
 import math
 from typing import Callable, Sequence
 
@@ -14,7 +15,7 @@
 # Seconds that a connection rests after an answer before it is used again: a second answer may come some milliseconds
 # late, and would be taken for the next one's.
 REST = 0.05
-EARLY = 1.0     # seconds before the other side's idle limit at which a connection is no longer used
+EARLY = 1.0  # seconds before the other side's idle limit at which a connection is no longer used
 
 
 class Ages:
@@ -23,14 +24,14 @@
     word, and sooner than they say: the request written to one is lost, and its server is held to be ill."""
 
     def __init__(self) -> None:
-        self.rows = [[0.0, 0.0] for _ in range(10)]     # used, broken; emptied by fade
+        self.rows = [[0.0, 0.0] for _ in range(10)]  # used, broken; emptied by fade
 
     def _row(self, age: float) -> list[float]:
         return self.rows[min(len(self.rows) - 1, int(age * 16).bit_length())]
 
     def fit(self, age: float) -> bool:
         used, broken = self._row(age)
-        return broken < 2 or broken < used / 4     # one or two may have broken by chance
+        return broken < 2 or broken < used / 4  # one or two may have broken by chance
 
     def note(self, age: float, broken: bool) -> None:
         row = self._row(age)
@@ -46,20 +47,27 @@
 class Servers:
     """Idle connections by server, the last used first, and the number of all connections."""
 
-    def __init__(self, most: int, largest: int, connect_patience: float, idle_patience: float,
-                 names: Sequence[str]) -> None:
+    def __init__(
+        self, most: int, largest: int, connect_patience: float, idle_patience: float, names: Sequence[str]
+    ) -> None:
         self.most, self.largest = most, largest
         self.connect_patience = connect_patience
         self.usable = max(0.0, idle_patience - EARLY)
         self.names = [name.encode() for name in names]
         self.open = 0
         self.ages = Ages()
-        self.eras: dict[int, int] = {}      # by the server's index: how often what runs there changed; no larger than
+        self.eras: dict[int, int] = {}  # by the server's index: how often what runs there changed; no larger than
         # the keeper's table of servers
-        self.idle: dict[int, list[tuple[float, Link]]] = {}     # by the server's index; emptied by run
-
-    async def call(self, server: int, address: Address, head: Callable[[], h11.Request], body: bytes = b"",
-                   call_out: CallOut | None = None) -> tuple[Ending, Message | None]:
+        self.idle: dict[int, list[tuple[float, Link]]] = {}  # by the server's index; emptied by run
+
+    async def call(
+        self,
+        server: int,
+        address: Address,
+        head: Callable[[], h11.Request],
+        body: bytes = b"",
+        call_out: CallOut | None = None,
+    ) -> tuple[Ending, Message | None]:
         """One exchange with a server. Sends it once and never again; the connection is kept if it stays usable. A
         call-out begins only while what was decided holds, and is written whole in its time or never. `head` makes the
         request's head for its first byte."""
@@ -104,7 +112,7 @@
         """A connection, and how long it has been idle: the last used of those that have rested."""
         kept, now, found = self.idle.get(server, []), trio.current_time(), (None, None)
         resting = [pair for pair in kept if now - pair[0] < REST]
-        del kept[len(kept) - len(resting):]
+        del kept[len(kept) - len(resting) :]
         while kept and found[0] is None:
             since, link = kept.pop()
             if now - since < self.usable and self.ages.fit(now - since) and link.lively():
@@ -171,7 +179,7 @@
 def _made(head: Callable[[], h11.Request]) -> h11.Request:
     try:
         return head()
-    except h11.LocalProtocolError:      # not to be said to any server: none is to blame
+    except h11.LocalProtocolError:  # not to be said to any server: none is to blame
         raise Break(Ending.TOO_LATE) from None
 
 
--- a/oakfork/wirehost/codec.py
+++ b/oakfork/wirehost/codec.py
@@ -1,4 +1,5 @@
 """The simulator's wire in bytes. The only file that knows its names and codes; no decision is taken here."""
+
 import json
 import struct
 from typing import BinaryIO, Iterator, NamedTuple
@@ -17,12 +18,18 @@
 
 # The fixed part of each event; what follows it is a counted field, whose count is the last value.
 EVENTS = {
-    DISCOVERY: ("Discovery", struct.Struct("<BII")), CONTEXT: ("Context", U32),
-    ACCEPT: ("Accept", struct.Struct("<QQBfdfHHf")), LAUNCH: ("Launch", struct.Struct("<QI")),
-    COUNTER_REPLY: ("CounterReply", struct.Struct("<BfQd")), EXPIRED: ("Expired", U64),
-    ENDED: ("Ended", struct.Struct("<QH6sdHBBHB")), EXIT: ("Exit", struct.Struct("<")),
-    CHECK_RESULT: ("CheckResult", struct.Struct("<6sBdB")), ESTABLISHED: ("Established", struct.Struct("<Qd6sH")),
-    MESSAGE: ("Message", struct.Struct("<HH")), MANIFEST: ("Manifest", struct.Struct("<II")),
+    DISCOVERY: ("Discovery", struct.Struct("<BII")),
+    CONTEXT: ("Context", U32),
+    ACCEPT: ("Accept", struct.Struct("<QQBfdfHHf")),
+    LAUNCH: ("Launch", struct.Struct("<QI")),
+    COUNTER_REPLY: ("CounterReply", struct.Struct("<BfQd")),
+    EXPIRED: ("Expired", U64),
+    ENDED: ("Ended", struct.Struct("<QH6sdHBBHB")),
+    EXIT: ("Exit", struct.Struct("<")),
+    CHECK_RESULT: ("CheckResult", struct.Struct("<6sBdB")),
+    ESTABLISHED: ("Established", struct.Struct("<Qd6sH")),
+    MESSAGE: ("Message", struct.Struct("<HH")),
+    MANIFEST: ("Manifest", struct.Struct("<II")),
     TIMEOUT_FIRED: ("TimeoutFired", U64),
 }
 COUNTED = {LAUNCH: 1, ENDED: 4, CHECK_RESULT: 4, MESSAGE: 1, MANIFEST: ENTRY.size}  # bytes of one element
@@ -66,7 +73,7 @@
         extra = values[-1] * COUNTED[code] if code in COUNTED else 0
         if end + extra > len(body):
             raise WireError(f"malformed frame: {name} at byte {at} runs past the end")
-        yield Record(code, values, body[end:end + extra])
+        yield Record(code, values, body[end : end + extra])
         at = end + extra
     if at != len(body):
         raise WireError(f"malformed frame: {len(body) - at} bytes left over at byte {at}")
--- a/oakfork/wirehost/host.py
+++ b/oakfork/wirehost/host.py
@@ -1,4 +1,5 @@
 """Hosts instances of the decision module that share nothing. No decision is taken here."""
+
 import traceback
 from typing import BinaryIO, Callable
 
@@ -26,8 +27,9 @@
         if code == codec.ACCEPT:
             true_id, customer, flags, first, left, spread, method, plan, units = values
             index = self.door.admit(true_id)
-            return face.Arrival(index, customer, method, plan, units, int(first), int(spread), codec.tenths(left),
-                                bool(flags & 2)), index
+            return face.Arrival(
+                index, customer, method, plan, units, int(first), int(spread), codec.tenths(left), bool(flags & 2)
+            ), index
         if code == codec.TIMEOUT_FIRED:
             return face.TimeCame(values[0]), None
         if code == codec.MESSAGE:
@@ -36,8 +38,9 @@
             return face.CounterAnswered(face.Status(values[0]), values[1], values[2]), None
         if code == codec.CHECK_RESULT:
             address, status, elapsed, _ = values
-            return face.ProbeEnded(self.door.server(address), face.Status(status), codec.tenths(elapsed),
-                                   codec.floats(record.tail)), None
+            return face.ProbeEnded(
+                self.door.server(address), face.Status(status), codec.tenths(elapsed), codec.floats(record.tail)
+            ), None
         index = self.door.rpcs.get(values[0])
         ticket = None if index is None else self.door.tickets[index]
         if ticket is None:
@@ -50,14 +53,30 @@
         _, call_out, address, elapsed, true_units, status, final, _, _ = values
         ticket.out -= 1
         ticket.over |= bool(final)
-        return face.CallOutEnded(index, call_out, self.door.server(address), codec.tenths(elapsed), face.Status(status),
-                                 bool(final), true_units, codec.floats(record.tail)), index
+        return face.CallOutEnded(
+            index,
+            call_out,
+            self.door.server(address),
+            codec.tenths(elapsed),
+            face.Status(status),
+            bool(final),
+            true_units,
+            codec.floats(record.tail),
+        ), index
 
     def entries(self, data: bytes) -> tuple[face.ServerEntry, ...]:
         return tuple(
-            face.ServerEntry(self.door.server(address), int.from_bytes(address, "big"), zone, cell, face.State(state),
-                             codec.tenths(up_since), weight)
-            for zone, _, address, cell, state, up_since, weight in codec.ENTRY.iter_unpack(data))
+            face.ServerEntry(
+                self.door.server(address),
+                int.from_bytes(address, "big"),
+                zone,
+                cell,
+                face.State(state),
+                codec.tenths(up_since),
+                weight,
+            )
+            for zone, _, address, cell, state, up_since, weight in codec.ENTRY.iter_unpack(data)
+        )
 
     def action(self, now: int, command: face.Command) -> bytes:
         match command:
@@ -72,7 +91,7 @@
                 return codec.abort(self.door.tickets[rpc].true_id)
             case face.Cancel(rpc, call_out):
                 return codec.retract(self.door.tickets[rpc].true_id, call_out)
-            case face.Recall():     # on this wire a call-out begins in the instant in which it is decided
+            case face.Recall():  # on this wire a call-out begins in the instant in which it is decided
                 return b""
             case face.Wake(token, after):
                 return codec.remind(token, after / 10)
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,5 @@
 """Fixtures that several files use, and the handling of KNOWN-RED.txt."""
+
 import pytest
 from known_red import (
     pytest_collection_modifyitems as pytest_collection_modifyitems,
--- a/tests/controlfleet.py
+++ b/tests/controlfleet.py
@@ -1,4 +1,5 @@
 """Fleets of controlworld.py that several files of tests use."""
+
 import msgspec
 from controlworld import World, put
 
@@ -7,7 +8,7 @@
 from oakfork.control.publisher import Publisher
 from oakfork.control.relay import Relay
 
-SETTLED = 120_000   # milliseconds: the longest that any of them waits for another, and a round of pauses
+SETTLED = 120_000  # milliseconds: the longest that any of them waits for another, and a round of pauses
 
 
 def fleet(seed=1, regions=2, each=3, follower=Follower, relay=Relay, publisher=Publisher, **more):
@@ -26,8 +27,14 @@
 
 
 def some_rows(chance):
-    return [put(f"s{number}", None if chance.random() < 0.15 else chance.randbytes(4),
-                chance.choice((Kind.SERVER, Kind.ROUTE))) for number in chance.sample(range(40), chance.randint(1, 6))]
+    return [
+        put(
+            f"s{number}",
+            None if chance.random() < 0.15 else chance.randbytes(4),
+            chance.choice((Kind.SERVER, Kind.ROUTE)),
+        )
+        for number in chance.sample(range(40), chance.randint(1, 6))
+    ]
 
 
 def gateways(world):
@@ -48,8 +55,10 @@
 
 def with_feeder(kind, base=Relay):
     """The same with another feeder inside."""
+
     class Made(base):
         def __init__(self, *args, **more):
             super().__init__(*args, **more)
             self.feeder.__class__ = kind
+
     return Made
--- a/tests/controlhand.py
+++ b/tests/controlhand.py
@@ -1,4 +1,5 @@
 """Speaks by hand to those who serve (oakfork/control), link by link."""
+
 from controlwitness import filled
 
 from oakfork.control.events import (
@@ -91,5 +92,13 @@
 
 def follows(hand, link, who=None, position=None, digest=None, relay=False):
     hand.do(Connected(link))
-    hand.hear(link, Hello(VERSION, who or f"g{link}", relay, position or hand.machine.position,
-                          whole(hand.machine.store.sums) if digest is None else digest))
+    hand.hear(
+        link,
+        Hello(
+            VERSION,
+            who or f"g{link}",
+            relay,
+            position or hand.machine.position,
+            whole(hand.machine.store.sums) if digest is None else digest,
+        ),
+    )
--- a/tests/controltier.py
+++ b/tests/controltier.py
@@ -1,4 +1,5 @@
 """A publisher, relays and agents over real sockets in one loop."""
+
 import json
 from contextlib import asynccontextmanager
 
@@ -13,7 +14,7 @@
 
 LOG = structlog.get_logger()
 HERE = ("127.0.0.1", 0)
-WAIT = 25       # seconds; nothing waits so long unless it is broken
+WAIT = 25  # seconds; nothing waits so long unless it is broken
 
 
 async def until(done):
@@ -31,7 +32,7 @@
 
     def __init__(self, path, nursery):
         self.path, self.nursery, self.scopes = path, nursery, {}
-        self.given = []     # slices of servers that the first agent was given
+        self.given = []  # slices of servers that the first agent was given
 
     async def start(self, followers=3):
         file = PublisherFile("p", "here", HERE, "", 4_000_000, 64, 4096, 65_536, 0)
@@ -45,8 +46,16 @@
             self.run(name, engine.run, listener)
             self.relays.append(engine)
             self.relays_at.append(place_of(listener))
-        self.agents = [agents.Agent(f"g{number}", self.relays_at if number % 2 else self.relays_at[::-1], number, LOG,
-                                    None if number else self.given.append) for number in range(followers)]
+        self.agents = [
+            agents.Agent(
+                f"g{number}",
+                self.relays_at if number % 2 else self.relays_at[::-1],
+                number,
+                LOG,
+                None if number else self.given.append,
+            )
+            for number in range(followers)
+        ]
         for agent in self.agents:
             self.run(agent.machine.who, agent.run)
 
@@ -54,6 +63,7 @@
         async def scoped():
             with self.scopes[name]:
                 await work(*told)
+
         self.scopes[name] = trio.CancelScope()
         self.nursery.start_soon(scoped)
 
@@ -75,6 +85,7 @@
         with trio.fail_after(60):
             async with tier(path, **more) as it:
                 await work(it)
+
     trio.run(main)
 
 
@@ -89,6 +100,23 @@
 
 
 def servers(numbers, id, service="search", **more):
-    return {"id": id, "put": {"servers": [{
-        "id": f"s{number}", "addr": f"10.1.{number // 250}.{number % 250}:80", "zone": "east", "kind": "", "cell": 1,
-        "state": "up", "weight": 1, "started_ms": 0, "service": service} | more for number in numbers]}}
+    return {
+        "id": id,
+        "put": {
+            "servers": [
+                {
+                    "id": f"s{number}",
+                    "addr": f"10.1.{number // 250}.{number % 250}:80",
+                    "zone": "east",
+                    "kind": "",
+                    "cell": 1,
+                    "state": "up",
+                    "weight": 1,
+                    "started_ms": 0,
+                    "service": service,
+                }
+                | more
+                for number in numbers
+            ]
+        },
+    }
--- a/tests/controlwitness.py
+++ b/tests/controlwitness.py
@@ -1,6 +1,7 @@
 """Judges the machines of a simulated network (controlworld.py) from outside: after each step one node's, and all in the
 end. What it compares with is made by brute force, through what anyone can look up.
 """
+
 from oakfork.control import feeder, frames
 from oakfork.control.messages import Position, Row
 from oakfork.control.publisher import QUEUED, Publisher
@@ -49,11 +50,16 @@
     def bounds(self, node, serving):
         links, pace, history = serving.links, serving.pace, serving.history
         sizes = {
-            "links": (len(links), serving.most), "deltas": (len(serving.deltas), feeder.DELTAS),
-            "held": (len(serving.held), feeder.DELTAS), "blocked": (len(serving.blocked), len(links)),
-            "mending": (len(pace.mending), pace.most), "ready": (len(pace.ready), len(pace.mending)),
-            "waiting": (len(pace.waiting), len(links)), "backlog": (len(serving.ranges.behind), frames.BACKLOG),
-            "rows": (history.rows, history.most_rows), "sets": (len(history.sets), history.most_sets),
+            "links": (len(links), serving.most),
+            "deltas": (len(serving.deltas), feeder.DELTAS),
+            "held": (len(serving.held), feeder.DELTAS),
+            "blocked": (len(serving.blocked), len(links)),
+            "mending": (len(pace.mending), pace.most),
+            "ready": (len(pace.ready), len(pace.mending)),
+            "waiting": (len(pace.waiting), len(links)),
+            "backlog": (len(serving.ranges.behind), frames.BACKLOG),
+            "rows": (history.rows, history.most_rows),
+            "sets": (len(history.sets), history.most_sets),
             "roster": (len(serving.roster.links), len(links)),
         }
         over = {what: (size, most) for what, (size, most) in sizes.items() if size > most}
--- a/tests/controlworld.py
+++ b/tests/controlworld.py
@@ -3,6 +3,7 @@
 Time is virtual. Links deliver in order, end in the middle, are cut between regions (what is under way then waits for
 the healing, as with TCP) and stand still with their node. A disk takes its time, and a kill may come before or after.
 """
+
 import heapq
 import itertools
 import random
@@ -35,8 +36,11 @@
 
 
 def contradictions(store, rows):
-    return [f"drop[{number}]: there is no {row.name!r}" for number, row in enumerate(rows)
-            if row.value is None and store.value(row.kind, row.name) is None]
+    return [
+        f"drop[{number}]: there is no {row.name!r}"
+        for number, row in enumerate(rows)
+        if row.value is None and store.value(row.kind, row.name) is None
+    ]
 
 
 def put(name, value, kind=Kind.SERVER):
@@ -50,7 +54,7 @@
     def __init__(self, states, other=None):
         self.states = states
         self.term, self.position, self.entries, self.ids, self.state = 0, Position(), [], {}, {}
-        if other is not None:   # a copy, from which another publisher begins
+        if other is not None:  # a copy, from which another publisher begins
             self.term, self.position = other.term, other.position
             self.entries, self.ids, self.state = list(other.entries), dict(other.ids), dict(other.state)
 
@@ -143,7 +147,7 @@
                 if (link := self.links.pop(number, None)) is not None:
                     link.close(self)
                 elif number < 0:
-                    self.links[number] = None   # not to come about any more
+                    self.links[number] = None  # not to come about any more
             case events.Wake(at):
                 self.wake = at
                 world.at(max(0, at - world.now), self.time, at, self.life)
@@ -242,7 +246,7 @@
         self.acknowledged = self.witness.acknowledged
         self.sent, self.bytes, self.steps = Counter(), Counter(), 0
         self.disks = {}
-        self.kill_at_keep = None    # "before" or "after" the next commit
+        self.kill_at_keep = None  # "before" or "after" the next commit
 
     # Building
 
@@ -256,8 +260,18 @@
         def make():
             disk = self.disks[name]
             term = disk.begin(above)
-            return kind(name, term, disk.position, disk.store(), parse, contradictions, entries=disk.entries,
-                        ids=disk.ids, **more)
+            return kind(
+                name,
+                term,
+                disk.position,
+                disk.store(),
+                parse,
+                contradictions,
+                entries=disk.entries,
+                ids=disk.ids,
+                **more,
+            )
+
         return self.add(name, region, make)
 
     def relay(self, name, region, relays, kind=Relay, **more):
@@ -313,7 +327,7 @@
         if not low.alive or life != low.life or low.links.pop(number, self) is None:
             return
         if high is None or not high.alive or self.is_cut(low, high):
-            known = high is not None and not high.quiet and not self.is_cut(low, high)   # or nothing answers
+            known = high is not None and not high.quiet and not self.is_cut(low, high)  # or nothing answers
             self.at(self.delay() if known else 2_000, low.tell, Lost(number), life)
             return
         high.last += 1
@@ -348,8 +362,9 @@
             self.witness.judge(node)
 
     def agreed(self):
-        self.witness.agreed([node for node in self.nodes.values()
-                             if node.alive and not isinstance(node.machine, Operator)])
+        self.witness.agreed(
+            [node for node in self.nodes.values() if node.alive and not isinstance(node.machine, Operator)]
+        )
 
     def damage(self, node, name, value):
         """A record changes where it should not, and its digest with it."""
--- a/tests/gateways.py
+++ b/tests/gateways.py
@@ -1,4 +1,5 @@
 """Gateways by themselves, and what the tests ask of them again and again."""
+
 import random
 
 from world import arrival, birth, entry
@@ -54,8 +55,13 @@
 def forty(servers: int = 60, cold: int = 0) -> list[Brain]:
     """Forty gateways where new connections cost; the last servers of the list have just started."""
     listed = [entry(server, State.READY, 50 * SECOND if server >= servers - cold else 0) for server in range(servers)]
-    tier = [Brain(birth(index, 40, seed=random.Random(index).getrandbits(64), connection_price=0.08,
-                        idle_time=15 * SECOND), 50 * SECOND) for index in range(40)]
+    tier = [
+        Brain(
+            birth(index, 40, seed=random.Random(index).getrandbits(64), connection_price=0.08, idle_time=15 * SECOND),
+            50 * SECOND,
+        )
+        for index in range(40)
+    ]
     for brain in tier:
         brain.handle(50 * SECOND, face.ServerList(True, False, tuple(listed)))
     return tier
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,5 +1,6 @@
 """KNOWN-RED.txt at the root: tests that fail for a real fault which could not be mended yet, a line each: test | cause
 | issue. They are run and have to fail; all are printed. One that passes, a fourth, or a line that names none fails."""
+
 import pytest
 
 MOST = 3
@@ -28,9 +29,12 @@
         if item.nodeid in known:
             item.add_marker(pytest.mark.xfail(reason=" | ".join(known[item.nodeid]), strict=True))
     files = {item.nodeid.partition("::")[0] for item in items}
-    for name in known:      # a run of some files alone says nothing of the others
-        if name.partition("::")[0] in files and not any(item.nodeid == name for item in items) and not (
-                config.option.keyword or any("::" in argument for argument in config.args)):
+    for name in known:  # a run of some files alone says nothing of the others
+        if (
+            name.partition("::")[0] in files
+            and not any(item.nodeid == name for item in items)
+            and not (config.option.keyword or any("::" in argument for argument in config.args))
+        ):
             raise pytest.UsageError(f"KNOWN-RED.txt names no test: {name}")
 
 
--- a/tests/labworlds.py
+++ b/tests/labworlds.py
@@ -1,4 +1,5 @@
 """Worlds of the laboratory, in the small."""
+
 import copy
 import tomllib
 from pathlib import Path
--- a/tests/leasesearch.py
+++ b/tests/leasesearch.py
@@ -7,6 +7,7 @@
 
 Parts of the state are numbered and what a part does is remembered, or a search would take hours.
 """
+
 from functools import cache
 from typing import Any, Iterator, NamedTuple
 
@@ -15,14 +16,14 @@
 from oakfork.leases.messages import Ask, Clock, Free, Grant, Hello, Refusal, Release
 
 LENGTHS = Lengths(lease=24, drift=200, act=24, longest=24)
-SLOW, EVEN, FAST = 8, 10, 12        # ticks of a clock in one step of true time; a drift of 200 allows these
-WAKE, RESTART, ACT, LEAVE = -1, -2, -3, -4      # what happens to a part, beside messages
-GUARD = -1                          # the name of what is acted upon
+SLOW, EVEN, FAST = 8, 10, 12  # ticks of a clock in one step of true time; a drift of 200 allows these
+WAKE, RESTART, ACT, LEAVE = -1, -2, -3, -4  # what happens to a part, beside messages
+GUARD = -1  # the name of what is acted upon
 
 
 class Act(NamedTuple):
     contender: int
-    life: int           # of what is acted upon
+    life: int  # of what is acted upon
     term: int
     end: int
 
@@ -34,9 +35,9 @@
 
 class State(NamedTuple):
     now: int
-    left: tuple[int, int, int, int]     # wakes, restarts, acts, departures
-    parts: tuple[int, ...]          # voters, contenders, what is acted upon: numbers of their states
-    said: frozenset[int]            # numbers of messages
+    left: tuple[int, int, int, int]  # wakes, restarts, acts, departures
+    parts: tuple[int, ...]  # voters, contenders, what is acted upon: numbers of their states
+    said: frozenset[int]  # numbers of messages
     held: tuple[int, int] = (0, 0)  # the highest term that was held, and the holder's life
 
 
@@ -61,26 +62,49 @@
 class Search:
     """`changed` stands in for the functions of the same names: a broken variant replaces one."""
 
-    def __init__(self, voters: int = 3, contenders: int = 2, rates: tuple[int, int, int] = (FAST, SLOW, EVEN),
-                 wakes: int = 2, restarts: int = 0, acts: int = 0, leaves: int = 0, ticks: int = 1, step: int = 1,
-                 head: int = 10, all_answers: bool = False, **changed: Any) -> None:
+    def __init__(
+        self,
+        voters: int = 3,
+        contenders: int = 2,
+        rates: tuple[int, int, int] = (FAST, SLOW, EVEN),
+        wakes: int = 2,
+        restarts: int = 0,
+        acts: int = 0,
+        leaves: int = 0,
+        ticks: int = 1,
+        step: int = 1,
+        head: int = 10,
+        all_answers: bool = False,
+        **changed: Any,
+    ) -> None:
         """`head`: the terms that later contenders have heard of. `all_answers`: also those that can do nothing more."""
         self.voters, self.contenders, self.rates = voters, contenders, rates
         self.left, self.ticks, self.step = (wakes, restarts, acts, leaves), ticks, step
-        self.do = {"started": voter.started, "asked": voter.asked, "released": voter.released, "woken": holder.woken,
-                   "granted": holder.granted, "left": holder.left, "refused": holder.refused, "acts": holder.acts,
-                   "judge": fence.judge, "end_there": fence.end_there} | changed
+        self.do = {
+            "started": voter.started,
+            "asked": voter.asked,
+            "released": voter.released,
+            "woken": holder.woken,
+            "granted": holder.granted,
+            "left": holder.left,
+            "refused": holder.refused,
+            "acts": holder.acts,
+            "judge": fence.judge,
+            "end_there": fence.end_there,
+        } | changed
         self.head, self.all_answers = head, all_answers
         self.local, self.messages = Numbers(), Numbers()
         self.seen = self.depth = 0
         self.plain, self.does = cache(self._plain), cache(self._does)
         self.holds, self.matters = cache(self._holds), cache(self._matters)
-        self.untouched = self.local(voter.Vote(0, 0))       # running for long
+        self.untouched = self.local(voter.Vote(0, 0))  # running for long
 
     def first(self) -> State:
         # The later ones have heard of higher terms, so that a refusal need not teach them first.
-        contenders = (Holder(holder.Contender(me, 100 + me, tuple(range(self.voters)), known=self.head * me))
-                      for me in range(self.contenders))
+        contenders = (
+            Holder(holder.Contender(me, 100 + me, tuple(range(self.voters)), known=self.head * me))
+            for me in range(self.contenders)
+        )
         parts = (self.untouched,) * self.voters + tuple(map(self.local, (*contenders, fence.Fence(1))))
         return State(1, self.left, parts, frozenset())
 
@@ -107,8 +131,12 @@
         if self.all_answers or not isinstance(told, Grant | Refusal):
             return True
         known = one.grants if isinstance(told, Grant) else one.refusals
-        return told.life == one.life and (told.round == one.round and told.voter not in known
-                                          or isinstance(told, Refusal) and told.highest > one.known)
+        return told.life == one.life and (
+            told.round == one.round
+            and told.voter not in known
+            or isinstance(told, Refusal)
+            and told.highest > one.known
+        )
 
     def _does(self, part: int, local: int, now: int, what: int, floor: int) -> tuple[int, tuple[int, ...], bool]:
         """What a part does: its state, what it says, and whether an act has its effect."""
@@ -183,14 +211,14 @@
     def _after(self, state: State, part: int, what: int, left: tuple[int, ...]) -> Iterator[State]:
         parts = state.parts
         if part < self.voters and parts[part] == self.untouched and self.untouched in parts[:part]:
-            return      # voters that nothing has come to are alike: the first of them stands for all
-        floor = 100 * (1 + self.left[1] - left[1])      # grows with each restart
+            return  # voters that nothing has come to are alike: the first of them stands for all
+        floor = 100 * (1 + self.left[1] - left[1])  # grows with each restart
         local, said, taken = self.does(part, parts[part], state.now, what, floor if what == RESTART else 0)
         if taken:
             self._acted(state, self.messages.list[what][1])
         if local == parts[part] and left == state.left and state.said.issuperset(said):
             return
-        parts = (*parts[:part], local, *parts[part + 1:])
+        parts = (*parts[:part], local, *parts[part + 1 :])
         said = state.said.union(n for n in said if self._waits(parts, n))
         if self.voters <= part < self.voters + self.contenders:
             said = frozenset(n for n in said if self._waits(parts, n))
@@ -201,13 +229,16 @@
         return not self.voters <= to < self.voters + self.contenders or self.matters(parts[to], number)
 
     def _acted(self, state: State, act: Act) -> None:
-        others = [one for one in range(self.contenders) if one != act.contender
-                  and self.holds(state.parts[self.voters + one], state.now)]
+        others = [
+            one
+            for one in range(self.contenders)
+            if one != act.contender and self.holds(state.parts[self.voters + one], state.now)
+        ]
         if others:
             raise Broken(f"an act of {act.contender} in term {act.term} has its effect while {others} holds")
 
     def _checked(self, state: State) -> State:
-        holding = [local for local in state.parts[self.voters:-1] if self.holds(local, state.now)]
+        holding = [local for local in state.parts[self.voters : -1] if self.holds(local, state.now)]
         if len(holding) > 1:
             raise Broken(f"two hold at {state.now}")
         for one in (self.local.list[local].one for local in holding):
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -1,4 +1,5 @@
 """Stand-ins for the parties beside a gateway, and the program started before them."""
+
 import http.client
 import json
 import os
@@ -16,11 +17,12 @@
 from oakfork.sockets import configuration
 
 CUSTOMER = "00000000b4d65521"
-http.client._MAXHEADERS = 2000      # of the stand-ins, which take a hundred otherwise
+http.client._MAXHEADERS = 2000  # of the stand-ins, which take a hundred otherwise
 
 
 class StandIn(ThreadingHTTPServer):
     """A party beside the gateway; `act` answers a request, and `seen` has what came whole."""
+
     daemon_threads = True
     request_queue_size = 64
 
@@ -31,7 +33,7 @@
         threading.Thread(target=self.serve_forever, args=(0.05,), daemon=True).start()
 
     def handle_error(self, request, client_address):
-        pass    # gateways break connections on purpose
+        pass  # gateways break connections on purpose
 
 
 class Handler(BaseHTTPRequestHandler):
@@ -80,23 +82,58 @@
 
 
 def entry(number, address, **more):
-    return {"id": f"s-{number:08x}", "addr": address, "zone": "z", "kind": "k", "cell": 0, "state": "up", "weight": 1.0,
-            "started_ms": 0} | more
+    return {
+        "id": f"s-{number:08x}",
+        "addr": address,
+        "zone": "z",
+        "kind": "k",
+        "cell": 0,
+        "state": "up",
+        "weight": 1.0,
+        "started_ms": 0,
+    } | more
 
 
 def settings(gateways=1, index=0, aim=1000.0, **more):
     def method(name, effect, **rest):
-        return {"name": name, "aim-ms": aim, "deadline-ms": 2 * aim, "effect": effect, "group": "cell",
-                "key-ttl-ms": 5000.0, "value": 1.0, "late-worth": 0.0, "streamed": False} | rest
-
-    return {"balancers": gateways, "index": index, "zones": ["z"], "zone": 0, "tick-ms": 4.0, "discovery": "automatic",
-            "classes": [method("read", "read_like"), method("seal", "idempotency_key"), method("hand", "unsafe")],
-            "tiers-of-service": [{"name": "basic", "refill": 0.1, "peak-units": 5.0},
-                                 {"name": "free", "refill": 0.0, "peak-units": 0.0}],
-            "limits": {"attempts-cap": 4, "cancel": True, "parallel-tries": True, "peers": gateways > 1,
-                       "probing": False, "retry-after": True, "conn-idle-ms": 15000.0, "connect-timeout-ms": 250.0},
-            "specifics": {"mail-per-s": 100.0, "units-top": 2, "shared-counter": True, "count-limit-ms": 200.0},
-            "invariants": {"stop-sending-within-ms": 500.0}, "stats": {"how": "off", "names": []}} | more
+        return {
+            "name": name,
+            "aim-ms": aim,
+            "deadline-ms": 2 * aim,
+            "effect": effect,
+            "group": "cell",
+            "key-ttl-ms": 5000.0,
+            "value": 1.0,
+            "late-worth": 0.0,
+            "streamed": False,
+        } | rest
+
+    return {
+        "balancers": gateways,
+        "index": index,
+        "zones": ["z"],
+        "zone": 0,
+        "tick-ms": 4.0,
+        "discovery": "automatic",
+        "classes": [method("read", "read_like"), method("seal", "idempotency_key"), method("hand", "unsafe")],
+        "tiers-of-service": [
+            {"name": "basic", "refill": 0.1, "peak-units": 5.0},
+            {"name": "free", "refill": 0.0, "peak-units": 0.0},
+        ],
+        "limits": {
+            "attempts-cap": 4,
+            "cancel": True,
+            "parallel-tries": True,
+            "peers": gateways > 1,
+            "probing": False,
+            "retry-after": True,
+            "conn-idle-ms": 15000.0,
+            "connect-timeout-ms": 250.0,
+        },
+        "specifics": {"mail-per-s": 100.0, "units-top": 2, "shared-counter": True, "count-limit-ms": 200.0},
+        "invariants": {"stop-sending-within-ms": 500.0},
+        "stats": {"how": "off", "names": []},
+    } | more
 
 
 def free_port(kind=socket.SOCK_STREAM):
@@ -105,9 +142,17 @@
 
 
 def told(discovery, servers, **more):
-    return {"name": "n0", "listen": free_port(), "discovery": discovery, "seed": "8c1f30d27a5be964",
-            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 256}, "peers": [], "counter": "127.0.0.1:9",
-            "known": {"version": 1, "full": True, "servers": servers}, "settings": settings()} | more
+    return {
+        "name": "n0",
+        "listen": free_port(),
+        "discovery": discovery,
+        "seed": "8c1f30d27a5be964",
+        "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 256},
+        "peers": [],
+        "counter": "127.0.0.1:9",
+        "known": {"version": 1, "full": True, "servers": servers},
+        "settings": settings(),
+    } | more
 
 
 @contextmanager
@@ -162,8 +207,13 @@
 
 
 def headers(lane="read", tier="free", **more):
-    return {"X-Txn": "%016x" % random.getrandbits(64), "X-Lane": lane, "X-Tier": tier, "X-Remaining-Ms": "1500",
-            "X-Call-Terms": "units=1,spread=1,first=0"} | {key.replace("_", "-"): value for key, value in more.items()}
+    return {
+        "X-Txn": "%016x" % random.getrandbits(64),
+        "X-Lane": lane,
+        "X-Tier": tier,
+        "X-Remaining-Ms": "1500",
+        "X-Call-Terms": "units=1,spread=1,first=0",
+    } | {key.replace("_", "-"): value for key, value in more.items()}
 
 
 def rpc(at, method="GET", path=f"/api?client={CUSTOMER}", body=None, link=None, **more):
@@ -194,7 +244,7 @@
 
 def whole(got):
     """Whether the last answer in these bytes is."""
-    head, _, body = got[got.rindex(b"HTTP/1.1 "):].partition(b"\r\n\r\n")
+    head, _, body = got[got.rindex(b"HTTP/1.1 ") :].partition(b"\r\n\r\n")
     length = re.search(rb"content-length: (\d+)", head)
     return length is not None and len(body) == int(length[1])
 
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -10,8 +10,16 @@
 from oakfork.wirehost import codec
 from oakfork.wirehost.host import Host, serve
 
-INFO = json.dumps({"balancers": 1, "index": 0, "new-key": 1, "classes": [{"aim-ms": 2000.0, "deadline-ms": 4000.0}],
-                   "tiers-of-service": [{"refill": 5.0, "peak-units": 5.0}], "limits": {"attempts-cap": 4}}).encode()
+INFO = json.dumps(
+    {
+        "balancers": 1,
+        "index": 0,
+        "new-key": 1,
+        "classes": [{"aim-ms": 2000.0, "deadline-ms": 4000.0}],
+        "tiers-of-service": [{"refill": 5.0, "peak-units": 5.0}],
+        "limits": {"attempts-cap": 4},
+    }
+).encode()
 SERVER = bytes((10, 0, 0, 1)) + struct.pack("<H", 9000)
 
 
@@ -24,8 +32,10 @@
 
 
 def manifest(number, *states):
-    entries = b"".join(codec.ENTRY.pack(0, 0, SERVER[:3] + bytes((i,)) + SERVER[4:], 0, state, 0.0, 1.0)
-                       for i, state in enumerate(states))
+    entries = b"".join(
+        codec.ENTRY.pack(0, 0, SERVER[:3] + bytes((i,)) + SERVER[4:], 0, state, 0.0, 1.0)
+        for i, state in enumerate(states)
+    )
     return bytes((codec.MANIFEST,)) + struct.pack("<II", number, len(states)) + entries
 
 
@@ -57,28 +67,52 @@
 
 
 def test_an_rpc_is_sent_on_and_its_ids_come_back_unmodified():
-    reply, = run(batch(1000.0, context(3), launch(), manifest(0, 1), discovery(0), accept(2 ** 51)))
-    assert reply.startswith(codec.by(3)) and struct.pack("<BQ", 70, 2 ** 51) in reply
+    (reply,) = run(batch(1000.0, context(3), launch(), manifest(0, 1), discovery(0), accept(2**51)))
+    assert reply.startswith(codec.by(3)) and struct.pack("<BQ", 70, 2**51) in reply
 
 
 def test_list_numbers_are_resolved_in_order_of_events():
-    reply, = run(batch(1000.0, context(0), launch(), context(1), launch(), manifest(4, 1), context(0), discovery(4),
-                       manifest(4, 2), context(1), discovery(4), context(0), accept(1), context(1), accept(2)))
-    assert struct.pack("<BQ", 70, 1) in reply       # listed ready: sent on
-    assert struct.pack("<BQ", 80, 2) in reply       # listed draining: pushed back
+    (reply,) = run(
+        batch(
+            1000.0,
+            context(0),
+            launch(),
+            context(1),
+            launch(),
+            manifest(4, 1),
+            context(0),
+            discovery(4),
+            manifest(4, 2),
+            context(1),
+            discovery(4),
+            context(0),
+            accept(1),
+            context(1),
+            accept(2),
+        )
+    )
+    assert struct.pack("<BQ", 70, 1) in reply  # listed ready: sent on
+    assert struct.pack("<BQ", 80, 2) in reply  # listed draining: pushed back
 
 
 def test_a_restart_forgets_and_late_events_are_ignored():
     gone = bytes((codec.EXPIRED,)) + struct.pack("<Q", 77)
     host = Host()
-    replies = run(batch(1000.0, context(0), launch(), manifest(0, 1), discovery(0), accept(1)),
-                  batch(1001.0, context(0), bytes((codec.EXIT,)), launch(2), discovery(0), gone, accept(2)), host=host)
+    replies = run(
+        batch(1000.0, context(0), launch(), manifest(0, 1), discovery(0), accept(1)),
+        batch(1001.0, context(0), bytes((codec.EXIT,)), launch(2), discovery(0), gone, accept(2)),
+        host=host,
+    )
     assert struct.pack("<BQ", 70, 2) in replies[1] and list(host.instances[0].door.rpcs) == [2]
 
 
 def test_the_index_of_an_rpc_is_used_again():
-    host, ok = Host(), lambda rpc: struct.pack("<BQH6sdHBBHB", codec.ENDED, rpc, 0, SERVER[:3] + b"\0" + SERVER[4:],
-                                               50.0, 0, 0, 1, 0, 0)
+    host, ok = (
+        Host(),
+        lambda rpc: struct.pack(
+            "<BQH6sdHBBHB", codec.ENDED, rpc, 0, SERVER[:3] + b"\0" + SERVER[4:], 50.0, 0, 0, 1, 0, 0
+        ),
+    )
     run(batch(1000.0, context(0), launch(), manifest(0, 1), discovery(0)), host=host)
     for rpc in range(200):
         at = 2000.0 + rpc * 300
@@ -94,17 +128,23 @@
         def handle(self, now, event):
             raise ZeroDivisionError("no servers")
 
-    reply, = run(batch(1000.0, context(0), launch(), manifest(0, 1), discovery(0)), host=Host(Broken))
+    (reply,) = run(batch(1000.0, context(0), launch(), manifest(0, 1), discovery(0)), host=Host(Broken))
     assert reply[5] == 110 and b"ZeroDivisionError: no servers (handle" in reply
 
 
-@pytest.mark.parametrize("data, told", [
-    (b"\1\0", "truncated header"), (batch(1.0, context(0))[:-1], "truncated frame"),
-    (batch(1.0, b"\xee"), "unknown event code 238 at byte 0"), (batch(1.0, context(0)[:3]), "Context at byte 0"),
-    (batch(1.0, context(0), discovery(0)), "not launched"), (batch(1.0, accept(1)), "before any Context"),
-    (batch(1.0, context(0), launch(), discovery(9)), "list 9 was never declared"),
-    (batch(1.0, context(0), launch(), manifest(0, 7), discovery(0)), "Discovery"),
-])
+@pytest.mark.parametrize(
+    "data, told",
+    [
+        (b"\1\0", "truncated header"),
+        (batch(1.0, context(0))[:-1], "truncated frame"),
+        (batch(1.0, b"\xee"), "unknown event code 238 at byte 0"),
+        (batch(1.0, context(0)[:3]), "Context at byte 0"),
+        (batch(1.0, context(0), discovery(0)), "not launched"),
+        (batch(1.0, accept(1)), "before any Context"),
+        (batch(1.0, context(0), launch(), discovery(9)), "list 9 was never declared"),
+        (batch(1.0, context(0), launch(), manifest(0, 7), discovery(0)), "Discovery"),
+    ],
+)
 def test_bad_input_ends_with_one_plain_line(data, told):
     ended = subprocess.run([sys.executable, "-m", "oakfork.wirehost"], input=data, capture_output=True, timeout=30)
     line = ended.stderr.decode()
@@ -118,12 +158,19 @@
 
 
 def test_every_command_has_its_record():
-    host, wire = Host(), (      # the wire page's worked examples, where it has them
-        (face.Tell(65535, b"hi 7"), "8cffff040068692037"), (face.Subscribe(), "3201"), (face.ReadList(), "0a"),
-        (face.Note("two servers known"), "3c110074776f2073657276657273206b6e6f776e"),
-        (face.Wake(77, 5000), "644d000000000000000000000000407f40"),
-        (face.Probe(0), "1e0a0000002823"), (face.CloseIdle(0), "280a0000002823"),
-        (face.Count(0x89f690, 4.0, 30_000), "8290f689000000000000008040000000000070a740"))
+    host, wire = (
+        Host(),
+        (  # the wire page's worked examples, where it has them
+            (face.Tell(65535, b"hi 7"), "8cffff040068692037"),
+            (face.Subscribe(), "3201"),
+            (face.ReadList(), "0a"),
+            (face.Note("two servers known"), "3c110074776f2073657276657273206b6e6f776e"),
+            (face.Wake(77, 5000), "644d000000000000000000000000407f40"),
+            (face.Probe(0), "1e0a0000002823"),
+            (face.CloseIdle(0), "280a0000002823"),
+            (face.Count(0x89F690, 4.0, 30_000), "8290f689000000000000008040000000000070a740"),
+        ),
+    )
     run(batch(1.0, context(0), launch(), manifest(0, 1), discovery(0)), host=host)
     for command, record in wire:
         assert host.instances[0].action(0, command).hex() == record
--- a/tests/test_any_bytes.py
+++ b/tests/test_any_bytes.py
@@ -1,5 +1,6 @@
 """Any bytes, at any moment, on the sockets of clients, servers and discovery: an answer or a close in bounded
 time, no crash, nothing lost beside it, nothing left held. (Frames of peers: test_links.py.)"""
+
 import os
 import random
 import socket
@@ -21,13 +22,13 @@
         at = chance.randrange(len(data) + 1)
         match chance.randrange(4):
             case 0:
-                data[at:at + 1] = bytes([chance.randrange(256)])
+                data[at : at + 1] = bytes([chance.randrange(256)])
             case 1:
-                del data[at:at + chance.randrange(40)]
+                del data[at : at + chance.randrange(40)]
             case 2:
                 data[at:at] = chance.randbytes(chance.choice((1, 30, 3000)))
             case 3:
-                data[at:at] = data[max(0, at - 30):at]
+                data[at:at] = data[max(0, at - 30) : at]
     return bytes(data)
 
 
@@ -46,7 +47,7 @@
             try:
                 answers.append(rpc(w.at, link=link, X_Txn="%x" % random.getrandbits(60))[0])
             except (ConnectionError, OSError):
-                link = connection(w.at)     # a close that crossed
+                link = connection(w.at)  # a close that crossed
                 crossed.append(1)
             time.sleep(0.01)
 
@@ -111,8 +112,11 @@
         handler.close_connection = chance.random() < 0.5
 
     def spoils_lists(handler, body):
-        handler.wfile.write(spoilt(chance, b'HTTP/1.1 200 OK\r\nContent-Length: 41\r\n\r\n'
-                                           b'{"version":2,"full":false,"servers":[{}]}'))
+        handler.wfile.write(
+            spoilt(
+                chance, b"HTTP/1.1 200 OK\r\nContent-Length: 41\r\n\r\n" b'{"version":2,"full":false,"servers":[{}]}'
+            )
+        )
         handler.close_connection = True
 
     with world(spoils, spoils) as w:
--- a/tests/test_brain.py
+++ b/tests/test_brain.py
@@ -1,4 +1,5 @@
 """The rules after every step of seeded worlds, and the way of an RPC."""
+
 import pytest
 from gateways import ended, gateway, kinds
 from world import METHODS, World, arrival
@@ -30,7 +31,7 @@
 
 def test_a_gateway_that_is_behind_lets_in_less_and_blames_no_server():
     brain, now, let_in = gateway(), 0, []
-    for late in (0, 0, 2000, 0):    # how late its timers come; the rest of the time it has nothing to do
+    for late in (0, 0, 2000, 0):  # how late its timers come; the rest of the time it has nothing to do
         sent = 0
         for rpc in range(60):
             now += 100
@@ -57,23 +58,23 @@
         brain.handle(50_000, arrival(rpc, rpc))
         if rpc in brain.rpcs:
             brain.handle(50_500, ended(rpc, 0, next(iter(brain.rpcs[rpc].out.values()))))
-    assert brain.let_in > 1.0       # a single late one does not refuse any yet
+    assert brain.let_in > 1.0  # a single late one does not refuse any yet
 
 
 def test_a_gateway_looks_before_it_sends_to_servers_it_seldom_hears():
     brain = gateway(servers=40, gateways=80, probing=True)
     brain.servers.quickest = {0: 9, 1: 9}
     for server in brain.servers.all.values():
-        server.pace = 1.0 if server.entry.zone else 9.0       # by its own old view the ones in zone 0 are slow
+        server.pace = 1.0 if server.entry.zone else 9.0  # by its own old view the ones in zone 0 are slow
     for rpc, now in enumerate(range(20_000, 23_000, 100)):
         commands = brain.handle(now, arrival(rpc, rpc))
         probed = [command.server for command in commands if isinstance(command, face.Probe)]
         assert len(probed) == 2 and face.Send not in kinds(commands)
-        first, second = probed      # the first took long to answer, the second none: that gets the RPC
+        first, second = probed  # the first took long to answer, the second none: that gets the RPC
         assert face.Send not in kinds(brain.handle(now + 9, face.ProbeEnded(first, Status.OK, 90, ())))
         sent = brain.handle(now + 10, face.ProbeEnded(second, Status.OK, 9, ()))
         assert [command.server for command in sent if isinstance(command, face.Send)] == [second]
-    now, commands = 50_000, brain.handle(50_000, arrival(99, 99))   # and if all hold much it is shed soon
+    now, commands = 50_000, brain.handle(50_000, arrival(99, 99))  # and if all hold much it is shed soon
     while face.PushBack not in kinds(commands) and now < 52_000:
         now += 10
         full = [face.ProbeEnded(c.server, Status.OK, 400, ()) for c in commands if isinstance(c, face.Probe)]
@@ -96,7 +97,7 @@
     assert face.Send in kinds(brain.handle(0, arrival(1, 1)))
     asked = brain.handle(until, face.TimeCame(0))
     assert kinds(asked).count(face.Probe) == probes
-    if probes and price > 0.05:     # both hold too much for a copy: nobody else is asked
+    if probes and price > 0.05:  # both hold too much for a copy: nobody else is asked
         full = [face.ProbeEnded(c.server, Status.OK, 4_000, ()) for c in asked if isinstance(c, face.Probe)]
         assert not [c for event in full for c in brain.handle(until + 1, event) if isinstance(c, face.Probe)]
 
--- a/tests/test_callouts.py
+++ b/tests/test_callouts.py
@@ -1,4 +1,5 @@
 """Call-outs at the instant in which they begin or end. The order is forced: connections come up when the test says."""
+
 import math
 import re
 import socket
@@ -33,9 +34,10 @@
 
     def __init__(self, tmp_path, monkeypatch, listed=LISTED, **told):
         limits = settings()["limits"] | {"connect-timeout-ms": 1500.0, "parallel-tries": False} | told.pop("limits", {})
-        self.here = surroundings(tmp_path, known={"version": 1, "full": True, "servers": listed},
-                                 settings=settings(limits=limits, **told))
-        self.wanted, self.answers = [], {}      # connections asked for: where to, and what lets them come up
+        self.here = surroundings(
+            tmp_path, known={"version": 1, "full": True, "servers": listed}, settings=settings(limits=limits, **told)
+        )
+        self.wanted, self.answers = [], {}  # connections asked for: where to, and what lets them come up
         monkeypatch.setattr(network, "connect", self.connect)
 
     async def connect(self, address, patience, largest=LARGEST_BODY):
@@ -50,10 +52,14 @@
 
     def ask(self, number, lane="read", **more):
         fields = {"X-Txn": str(number), "X-Lane": lane, "X-Tier": "free", "X-Remaining-Ms": "2000", "Host": "a"} | more
-        head = h11.Request(method="POST" if lane != "read" else "GET", target=f"/api?client={CUSTOMER}",
-                           headers=[*fields.items(), ("Idempotency-Key", "k")])
-        exchange = Exchange(Message(head, b""), self.here.names, self.here.birth,
-                            lambda answer: self.answers.setdefault(number, answer))
+        head = h11.Request(
+            method="POST" if lane != "read" else "GET",
+            target=f"/api?client={CUSTOMER}",
+            headers=[*fields.items(), ("Idempotency-Key", "k")],
+        )
+        exchange = Exchange(
+            Message(head, b""), self.here.names, self.here.birth, lambda answer: self.answers.setdefault(number, answer)
+        )
         self.asked_until = exchange.until
         tell(self.queue, Came(exchange))
         return exchange
@@ -66,8 +72,9 @@
             self.queue, inbox = trio.open_memory_channel(math.inf)
             self.servers = Servers(50, LARGEST_BODY, self.here.connect_patience, 15.0, ())
             async with trio.open_nursery() as nursery:
-                self.keeper = Keeper(self.here, inbox, self.queue, self.servers, None, None, None, nursery,
-                                     structlog.get_logger())
+                self.keeper = Keeper(
+                    self.here, inbox, self.queue, self.servers, None, None, None, nursery, structlog.get_logger()
+                )
                 nursery.start_soon(self.keeper.run)
                 nursery.start_soon(self.keeper.tick)
                 await test(self)
@@ -88,14 +95,20 @@
     return got, True
 
 
-@pytest.mark.parametrize("news", [
-    Listed(False, False, [LISTED[0] | {"state": "draining"}]), Listed(False, False, [LISTED[0] | {"state": "removed"}]),
-    Listed(True, False, LISTED[1:]), Listed(False, False, [LISTED[0] | {"started_ms": 5000}]),
-    Listed(False, False, [LISTED[0] | {"addr": "127.0.0.1:1003"}])])
+@pytest.mark.parametrize(
+    "news",
+    [
+        Listed(False, False, [LISTED[0] | {"state": "draining"}]),
+        Listed(False, False, [LISTED[0] | {"state": "removed"}]),
+        Listed(True, False, LISTED[1:]),
+        Listed(False, False, [LISTED[0] | {"started_ms": 5000}]),
+        Listed(False, False, [LISTED[0] | {"addr": "127.0.0.1:1003"}]),
+    ],
+)
 @pytest.mark.parametrize("lane", ["read", "seal", "hand"])
 def test_what_is_told_of_a_server_before_the_first_byte_holds(tmp_path, monkeypatch, news, lane):
     async def test(rig):
-        tell(rig.queue, Listed(False, False, [LISTED[1] | {"state": "draining"}]))      # one is left to choose
+        tell(rig.queue, Listed(False, False, [LISTED[1] | {"state": "draining"}]))  # one is left to choose
         rig.ask(1, lane)
         await rig.settle()
         [(address, up, theirs)] = rig.wanted
@@ -106,7 +119,7 @@
         up.set()
         await rig.settle()
         assert written(theirs)[0] == b"", "the first byte came after the news"
-        (address, up, theirs), = rig.wanted[1:]     # it never ran: it may go on, also one that must not run twice
+        ((address, up, theirs),) = rig.wanted[1:]  # it never ran: it may go on, also one that must not run twice
         up.set()
         await rig.settle()
         assert b"x-txn: 1" in written(theirs)[0] and not rig.answers
@@ -117,6 +130,7 @@
 @pytest.mark.parametrize("cancel", [True, False])
 def test_a_client_that_has_gone_before_the_first_byte_has_nothing_sent(tmp_path, monkeypatch, cancel):
     """Also where the settings allow no cancelling: that concerns what has begun, which goes on there."""
+
     async def test(rig):
         exchanges = []
         for number in range(2):
@@ -132,7 +146,7 @@
         late.set()
         await rig.settle()
         assert written(two) == (b"", True) or written(two)[0] == b""
-        assert written(one)[1] is cancel        # its connection is closed only where that is allowed
+        assert written(one)[1] is cancel  # its connection is closed only where that is allowed
         one.sendall(ANSWER) if not cancel else None
         await rig.settle()
         assert not rig.keeper.door.rpcs and len(rig.wanted) == 2
@@ -151,14 +165,14 @@
         rig.wanted[0][1].set()
         await rig.settle()
         assert b"x-txn: 1" in written(rig.wanted[0][2])[0]
-        rig.wanted[0][2].close()        # it may have run
+        rig.wanted[0][2].close()  # it may have run
         await rig.settle()
-        _, up, theirs = rig.wanted[1]   # decided in time
+        _, up, theirs = rig.wanted[1]  # decided in time
         await trio.sleep(0.4)
         up.set()
         await rig.settle()
         assert written(theirs)[0] == b"" and len(rig.wanted) == 2
-        assert rig.answers[1].status == 503     # where all servers drop repeats, a further try is the client's
+        assert rig.answers[1].status == 503  # where all servers drop repeats, a further try is the client's
 
     Rig(tmp_path, monkeypatch, classes=methods).play(test)
 
@@ -203,6 +217,7 @@
 @pytest.mark.parametrize("lane", ["read", "seal", "hand"])
 def test_the_time_told_to_a_server_is_what_is_left_at_the_first_byte(tmp_path, monkeypatch, lane):
     """A connection that comes up late has used some of the client's time, at the first call-out and a further one."""
+
     async def test(rig):
         rig.ask(1, lane, **{"X-Remaining-Ms": "1900"})
         await rig.settle()
@@ -213,9 +228,9 @@
             up.set()
             await rig.settle()
             told = int(re.search(rb"x-remaining-ms: (\d+)", written(theirs)[0])[1])
-            assert 1000 * (rig.asked_until - trio.current_time()) - 1 < told < most + 2    # one is the keeper's
+            assert 1000 * (rig.asked_until - trio.current_time()) - 1 < told < most + 2  # one is the keeper's
             if number == 0:
-                theirs.sendall(b"HTTP/1.1 503 x\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n")     # never ran
+                theirs.sendall(b"HTTP/1.1 503 x\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n")  # never ran
                 await rig.settle()
 
     Rig(tmp_path, monkeypatch).play(test)
@@ -223,6 +238,7 @@
 
 def test_a_connection_in_use_while_what_runs_there_changes_is_not_kept(tmp_path, monkeypatch):
     """Under the same index there is a newer process, or another server altogether, when it would be kept."""
+
     async def test(rig):
         rig.ask(1)
         await rig.settle()
@@ -248,9 +264,15 @@
         assert rpc(w.at, "POST", lane="hand", body=b"x")[:2] == (200, b"all of it") and len(w.seen()) == 1
 
 
-@pytest.mark.parametrize("head", [b"HTTP/1.1 200 OK\r\n\r\n", b"HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\n",
-                                  b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n20\r\n",
-                                  b"HTTP/1.1 503 x\r\nX-Turned-Away: 1\r\n\r\n"])
+@pytest.mark.parametrize(
+    "head",
+    [
+        b"HTTP/1.1 200 OK\r\n\r\n",
+        b"HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\n",
+        b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n20\r\n",
+        b"HTTP/1.1 503 x\r\nX-Turned-Away: 1\r\n\r\n",
+    ],
+)
 def test_an_answer_that_is_reset_on_the_way_is_not_whole_and_may_have_run(world, head):
     def act(handler, body):
         handler.wfile.write(head + b"half")
@@ -279,6 +301,7 @@
 def test_a_second_answer_some_milliseconds_late_is_nobodys(world):
     """The next RPC comes when it has just been written. (How long a connection rests before it is used again, so that
     one that is still on its way is seen in time, is the next test's.)"""
+
     def act(handler, body):
         echo(handler, body)
         time.sleep(0.01)
@@ -335,8 +358,10 @@
         theirs, call = large_call(monkeypatch)
         ends = []
         async with trio.open_nursery() as nursery:
+
             async def note():
                 ends.append(await call())
+
             nursery.start_soon(note)
             await trio.testing.wait_all_tasks_blocked(0.01)
             while reads and len(theirs.recv(200_000, socket.MSG_PEEK)) and not ends:
@@ -356,6 +381,7 @@
 
 def test_written_by_ends_a_write_that_is_not_whole_in_time(monkeypatch):
     """The window's end falls into the write: the last byte is never written."""
+
     async def main():
         theirs, call = large_call(monkeypatch)
         ending, _ = await call(CallOut(0, 0, math.inf, trio.current_time() + 0.1))
@@ -372,10 +398,12 @@
         with closing(socket.create_server(("127.0.0.1", 0))) as listener:
             address = listener.getsockname()
             async with trio.open_nursery() as nursery:
+
                 async def probe():
                     ends.append(await servers.probe(0, address, False))
+
                 nursery.start_soon(probe)
-                servers.close_idle(0)       # before the task's first turn nothing is begun: it is the new one's
+                servers.close_idle(0)  # before the task's first turn nothing is begun: it is the new one's
                 await trio.testing.wait_all_tasks_blocked(0.01)
                 sock, _ = listener.accept()
                 servers.close_idle(0)
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -1,4 +1,5 @@
 """docs/CAPACITY.md: its tables come from stored measures and the budget alone; and the command that measures."""
+
 import ast
 import dataclasses
 import json
@@ -34,8 +35,14 @@
 TABLE_FILES = sorted((ROOT / "oakfork/lab/scale").glob("capacity*.py"))
 # Keys of stored files and names of measures that hold a digit.
 KEYS = {"p50_ms", "p99_ms", "p99_over_p99_ms", "99 in 100", "p50", "p99", "p50 ms", "p99 ms"}
-PLANNED = {"servers": 41_000, "peers": 2_700, "gateways": 2_700, "customers": 59_000, "rate": 240,
-           "servers changed": 500}
+PLANNED = {
+    "servers": 41_000,
+    "peers": 2_700,
+    "gateways": 2_700,
+    "customers": 59_000,
+    "rate": 240,
+    "servers changed": 500,
+}
 QUANTILES = {"p50_ms": 1.5, "p99_ms": 7.5, "count": 901}
 
 
@@ -59,12 +66,19 @@
         if name not in left_out:
             measures.append(Measure(name, "units", by, points, {"others": 3}))
     store(folder, "made", measures, {"python": "3"})
-    day = {"added": {"p50_ms": scale, "p99_ms": 9 * scale, "p99_over_p99_ms": 8 * scale}, "parts": {"ask": {
-        key: value * scale for key, value in QUANTILES.items()}}} | {
+    day = {
+        "added": {"p50_ms": scale, "p99_ms": 9 * scale, "p99_over_p99_ms": 8 * scale},
+        "parts": {"ask": {key: value * scale for key, value in QUANTILES.items()}},
+    } | {
         kind: {"beside the server": {key: value * scale for key, value in QUANTILES.items()}}
-        for kind in ("direct", "through", "traced through")}
-    store(folder, "added", [], {"held": {"servers": 8}, "quiet": day, "bad": day,
-                                "by servers": {"41000": {"with changes": day}}})
+        for kind in ("direct", "through", "traced through")
+    }
+    store(
+        folder,
+        "added",
+        [],
+        {"held": {"servers": 8}, "quiet": day, "bad": day, "by servers": {"41000": {"with changes": day}}},
+    )
     return folder
 
 
@@ -99,8 +113,11 @@
         capacity.written(text.replace("table: zone", "table: zones"), found)
     with pytest.raises(ScaleError, match="peak"):
         capacity.written(text, {name: table for name, table in found.items() if name != "peak"})
-    for broken in (text.replace("<!-- end of table -->", "", 1), text.replace("<!-- table: zone -->", "", 1),
-                   text + "\n<!-- table: zone -->\n<!-- end of table -->\n"):
+    for broken in (
+        text.replace("<!-- end of table -->", "", 1),
+        text.replace("<!-- table: zone -->", "", 1),
+        text + "\n<!-- table: zone -->\n<!-- end of table -->\n",
+    ):
         with pytest.raises(ScaleError, match="twice"):
             capacity.written(broken, found)
 
@@ -108,20 +125,27 @@
 def strings_and_numbers(path):
     """Literals of a file that could reach a table: no docstrings, no format specifications."""
     tree = ast.parse(path.read_text())
-    beside = {id(part) for node in ast.walk(tree) if isinstance(node, ast.FormattedValue) and node.format_spec
-              for part in ast.walk(node.format_spec)}
-    beside |= {id(node.body[0].value) for node in ast.walk(tree) if isinstance(
-        node, ast.Module | ast.FunctionDef | ast.ClassDef) and isinstance(node.body[0], ast.Expr)}
+    beside = {
+        id(part)
+        for node in ast.walk(tree)
+        if isinstance(node, ast.FormattedValue) and node.format_spec
+        for part in ast.walk(node.format_spec)
+    }
+    beside |= {
+        id(node.body[0].value)
+        for node in ast.walk(tree)
+        if isinstance(node, ast.Module | ast.FunctionDef | ast.ClassDef) and isinstance(node.body[0], ast.Expr)
+    }
     return [node.value for node in ast.walk(tree) if isinstance(node, ast.Constant) and id(node) not in beside]
 
 
 def test_no_figure_is_typed_where_tables_are_made():
     for path in TABLE_FILES:
-        if path.stem == "capacityleases":       # measures; makes no table
+        if path.stem == "capacityleases":  # measures; makes no table
             continue
         for literal in strings_and_numbers(path):
             if isinstance(literal, str):
-                cut = literal == "0" and path.stem == "capacityfigures"     # behind a point
+                cut = literal == "0" and path.stem == "capacityfigures"  # behind a point
                 assert cut or literal in KEYS or not re.search(r"\d", literal), (path.name, literal)
             elif isinstance(literal, int | float) and path.stem != "capacityfigures":
                 assert literal in (0, 1, 2), (path.name, literal)
@@ -157,8 +181,9 @@
             assert any(changed[name] != base[name] for name in base if name != "assumptions"), row.name
     for field in dataclasses.fields(Today):
         if field.name != "silent_after" and field.name != "wait_part":
-            changed = capacity.tables(folder, None, None, dataclasses.replace(Today(), **{
-                field.name: getattr(Today(), field.name) * 4}))
+            changed = capacity.tables(
+                folder, None, None, dataclasses.replace(Today(), **{field.name: getattr(Today(), field.name) * 4})
+            )
             assert changed != base, field.name
 
 
@@ -183,9 +208,25 @@
 
 def test_what_is_not_measured_is_said_so_and_breaks_nothing(tmp_path):
     found = capacity.tables(tmp_path)
-    assert all("not measured" in found[name] for name in ("path", "owner", "control", "machines", "voters", "asks",
-                                                          "bursts", "rollout", "bunched", "added", "parts", "missing",
-                                                          "slopes", "runs"))
+    assert all(
+        "not measured" in found[name]
+        for name in (
+            "path",
+            "owner",
+            "control",
+            "machines",
+            "voters",
+            "asks",
+            "bursts",
+            "rollout",
+            "bunched",
+            "added",
+            "parts",
+            "missing",
+            "slopes",
+            "runs",
+        )
+    )
     assert not re.search(r"\bnan\b", "".join(found.values()))
     for place, name in enumerate(names()[::9]):
         found = capacity.tables(stored(tmp_path / str(place), left_out=[name]))
@@ -208,8 +249,9 @@
         found = outcomes(stored(tmp_path / str(cost), but={stall: cost}))
         assert next(said for name, said in found if name.startswith("a change of one server at a cost")) == outcome
     assert ("many changes at once, in parts or taken in at that length", "no way at all") in outcomes(
-        stored(tmp_path / "long", but={"changes by servers changed: bytes": 1e6}))[:3]
-    assert [outcome for _, outcome in outcomes(tmp_path / "one")[:2]] == ["no way at all"] * 2    # decisions, the tier
+        stored(tmp_path / "long", but={"changes by servers changed: bytes": 1e6})
+    )[:3]
+    assert [outcome for _, outcome in outcomes(tmp_path / "one")[:2]] == ["no way at all"] * 2  # decisions, the tier
     first = outcomes(stored(tmp_path / "dear", but={"process by servers: seconds to ready": 1e6}))[2]
     assert first == ("a start within the time of a change, while a restart is its only way", "misses")
 
@@ -221,15 +263,22 @@
         found = {measure.name: measure for measure in measures}
         kind = "leases " if group is capacityleases else "whole list by servers: b"
         assert all(name in found for name in wanted if name.startswith(kind))
-    assert all(value == 0 for _, values in found["leases by gateways: frames a second of a watcher"].points
-               for value in values)
+    assert all(
+        value == 0 for _, values in found["leases by gateways: frames a second of a watcher"].points for value in values
+    )
 
 
 def test_the_largest_size_is_foretold_by_the_smaller_ones_alone(tmp_path):
     few = [(size, [10.0 * size]) for size in (1, 2, 3, 4)]
     name, other = capacitycontrol.CAME, capacitycontrol.WENT
-    store(tmp_path, "control", [Measure(name, "bytes", "gateways", [*few, (10, [140.0, 150.0, 160.0])]),
-                                Measure(other, "bytes", "gateways", few)])
+    store(
+        tmp_path,
+        "control",
+        [
+            Measure(name, "bytes", "gateways", [*few, (10, [140.0, 150.0, 160.0])]),
+            Measure(other, "bytes", "gateways", few),
+        ],
+    )
     foretold, played = Store(tmp_path).foretold(name)
     assert (round(foretold.value, 6), played.value, played.low, played.high) == (100, 150, 140, 160)
     told = [row[1:4] for row in cells(capacity.tables(tmp_path)["agreed"])]
@@ -243,11 +292,18 @@
     assert (one + Figure(None, measures=("c",))).value is None and str(exact(1) / 0) == "none"
     assert capacityfigures.origin([one * two], {"a": "module"}) == "`a` (module); `b`; assumed: x"
     assert [plain(value) for value in (0.0, 41_000, 118.518, 0.01234, 1.234e-6, 2_562.5, 1e9)] == [
-        "0", "41,000", "119", "0.0123", "1.23e-06", "2,560", "1,000,000,000"]
+        "0",
+        "41,000",
+        "119",
+        "0.0123",
+        "1.23e-06",
+        "2,560",
+        "1,000,000,000",
+    ]
 
 
 def test_costs_between_measured_sizes_lie_between_their_neighbours(tmp_path):
-    points = [(size, [size ** 2]) for size in (1, 10, 100, 1000)]
+    points = [(size, [size**2]) for size in (1, 10, 100, 1000)]
     store(tmp_path, "bent", [Measure("square", "units", "servers", points)])
     told = Store(tmp_path)
     assert told.at("square", 55).value == 100 + 45 / 90 * 9900 and told.at("square", 100).value == 10_000
@@ -258,6 +314,7 @@
 @pytest.fixture
 def group(monkeypatch):
     """A group that takes no time."""
+
     def measure(told, small):
         told("a line")
         points = [(size, [size + small]) for size in (1, 2, 3, 4)]
@@ -283,18 +340,25 @@
     assert "nothing is stored" in CliRunner().invoke(main, ["lab", "scale", "--show", "--to", "nowhere"]).output
 
 
-@pytest.mark.parametrize("words, said", [
-    (["sizes"], "'sizes' is not one of"), (["--check"], "--check needs --page"),
-    (["--show", "lists"], "measure nothing"),
-    (["--page", "/nowhere"], "No such file"), (["--page", str(ROOT / "README.md")], "marked or written, but not both"),
-])
+@pytest.mark.parametrize(
+    "words, said",
+    [
+        (["sizes"], "'sizes' is not one of"),
+        (["--check"], "--check needs --page"),
+        (["--show", "lists"], "measure nothing"),
+        (["--page", "/nowhere"], "No such file"),
+        (["--page", str(ROOT / "README.md")], "marked or written, but not both"),
+    ],
+)
 def test_mistakes_on_the_line_are_told_on_one(words, said):
     done = CliRunner().invoke(main, ["lab", "scale", *words])
     assert done.exit_code == 2 and said in done.output and len(done.output.strip().splitlines()) == 1
 
 
 def test_the_command_line_imports_nothing_of_it_before_it_is_asked_for():
-    code = ("import sys, oakfork.command; "
-            "print([name for name in ('numpy', 'scipy', 'oakfork.lab.scale') if name in sys.modules])")
+    code = (
+        "import sys, oakfork.command; "
+        "print([name for name in ('numpy', 'scipy', 'oakfork.lab.scale') if name in sys.modules])"
+    )
     done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, timeout=60, cwd=ROOT)
     assert done.stdout.strip() == "[]"
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -1,4 +1,5 @@
 """Clients of the program: bad ones, idle ones, many."""
+
 import random
 import socket
 import time
@@ -20,35 +21,55 @@
     hiding = request_bytes(**{"Content-Length": "4", "Transfer-Encoding": "chunked"}) + b"0\r\n\r\n"
     with world(echo) as w:
         for data, wanted in (
-                (b"\x00\xff\r\n\r\n", b"400"), (b"GET / HTTP/1.1\r\n\r\n", b"400"),
-                (b"GET /" + b"x" * 40_000 + b" HTTP/1.1\r\nHost: a\r\n\r\n", b"4"),
-                (large, b"413"), (large + b"x" * (LARGEST_BODY + 1), b"413"), (hiding + request_bytes(), b"400"),
-                (hiding.replace(b"HTTP/1.1", b"HTTP/1.0").replace(b"Content-Length: 4\r\n", b""), b"400"),
-                (request_bytes(**{"X-Lane": "seal"}), b"400"), (request_bytes(**{"x-txn": "2"}), b"400"),
-                (b"HEAD /-/ready HTTP/1.1\r\nHost: a\r\n\r\n", b"405"),
-                (b"CONNECT a:1 HTTP/1.1\r\nHost: a\r\n\r\n", b"405"),
-                (b"GET /-/nothing HTTP/1.1\r\nHost: a\r\n\r\n", b"404"),
-                (b"GET /-/ready HTTP/1.0\r\n\r\n", b"200"),
-                (request_bytes(**{"X-Lane": "nothing"}), b"400"), (request_bytes(**{"X-Tier": None}), b"400"),
-                (request_bytes(**{"X-Remaining-Ms": "nan"}), b"400"), (request_bytes(**{"X-Txn": None}), b"400"),
-                *((request_bytes(**{"X-Call-Terms": terms}), b"400") for terms in (
-                    "units=-1", "units=0", "units=3", "units=1_0", "units=nan", "units=1,units=1", "spread=0",
-                    "spread=2", "spread=0.5", "first=1", "first=x")),
-                (request_bytes(**{"X-Remaining-Ms": "1e3"}), b"400"),
-                (request_bytes().replace(b"client=", b"client=0&client="), b"400"),
-                (request_bytes().replace(CUSTOMER.encode(), b"ffffffffffffffff"), b"400"),
-                (request_bytes().replace(CUSTOMER.encode(), b"%ff"), b"400"),
-                (request_bytes(**{"X-Remaining-Ms": "0"}), b"503"),
-                (request_bytes().replace(b"HTTP/1.1\r\nHost: a", b"HTTP/1.0"), b"200"),
-                (request_bytes(**{"Upgrade": "x", "Connection": "upgrade"}), b"200"),
-                (request_bytes(**{"Expect": "100-continue"}), b"200")):
+            (b"\x00\xff\r\n\r\n", b"400"),
+            (b"GET / HTTP/1.1\r\n\r\n", b"400"),
+            (b"GET /" + b"x" * 40_000 + b" HTTP/1.1\r\nHost: a\r\n\r\n", b"4"),
+            (large, b"413"),
+            (large + b"x" * (LARGEST_BODY + 1), b"413"),
+            (hiding + request_bytes(), b"400"),
+            (hiding.replace(b"HTTP/1.1", b"HTTP/1.0").replace(b"Content-Length: 4\r\n", b""), b"400"),
+            (request_bytes(**{"X-Lane": "seal"}), b"400"),
+            (request_bytes(**{"x-txn": "2"}), b"400"),
+            (b"HEAD /-/ready HTTP/1.1\r\nHost: a\r\n\r\n", b"405"),
+            (b"CONNECT a:1 HTTP/1.1\r\nHost: a\r\n\r\n", b"405"),
+            (b"GET /-/nothing HTTP/1.1\r\nHost: a\r\n\r\n", b"404"),
+            (b"GET /-/ready HTTP/1.0\r\n\r\n", b"200"),
+            (request_bytes(**{"X-Lane": "nothing"}), b"400"),
+            (request_bytes(**{"X-Tier": None}), b"400"),
+            (request_bytes(**{"X-Remaining-Ms": "nan"}), b"400"),
+            (request_bytes(**{"X-Txn": None}), b"400"),
+            *(
+                (request_bytes(**{"X-Call-Terms": terms}), b"400")
+                for terms in (
+                    "units=-1",
+                    "units=0",
+                    "units=3",
+                    "units=1_0",
+                    "units=nan",
+                    "units=1,units=1",
+                    "spread=0",
+                    "spread=2",
+                    "spread=0.5",
+                    "first=1",
+                    "first=x",
+                )
+            ),
+            (request_bytes(**{"X-Remaining-Ms": "1e3"}), b"400"),
+            (request_bytes().replace(b"client=", b"client=0&client="), b"400"),
+            (request_bytes().replace(CUSTOMER.encode(), b"ffffffffffffffff"), b"400"),
+            (request_bytes().replace(CUSTOMER.encode(), b"%ff"), b"400"),
+            (request_bytes(**{"X-Remaining-Ms": "0"}), b"503"),
+            (request_bytes().replace(b"HTTP/1.1\r\nHost: a", b"HTTP/1.0"), b"200"),
+            (request_bytes(**{"Upgrade": "x", "Connection": "upgrade"}), b"200"),
+            (request_bytes(**{"Expect": "100-continue"}), b"200"),
+        ):
             got = raw(w.at, data)
             assert got.startswith(b"HTTP/1.1 " + wanted), (data[:60], got[:60])
-        assert raw(w.at, request_bytes() * 3, 3).count(b"made for") == 3      # written one behind another
+        assert raw(w.at, request_bytes() * 3, 3).count(b"made for") == 3  # written one behind another
         assert raw(w.at, request_bytes(**{"X-Lane": "nothing"}) * 300, 300).count(b"HTTP/1.1 400") == 1
-        many = "".join(f"h{i}: x\r\n" for i in range(1100)).encode()     # more than one gathered write takes
+        many = "".join(f"h{i}: x\r\n" for i in range(1100)).encode()  # more than one gathered write takes
         assert b"made for" in raw(w.at, request_bytes()[:-2] + many + b"\r\n")
-        with closing(socket.create_connection(configuration.address(w.at), timeout=0.3)) as flood:    # never reads
+        with closing(socket.create_connection(configuration.address(w.at), timeout=0.3)) as flood:  # never reads
             with pytest.raises(TimeoutError):
                 for _ in range(4000):
                     flood.sendall(b"GET /-/nothing HTTP/1.1\r\nHost: a\r\n\r\n" * 100)
@@ -78,8 +99,10 @@
         time.sleep(0.1)
         other = CUSTOMER[:-1] + "2"
         assert rpc(w.at, X_Txn="7", path=f"/api?client={other}")[0] == 409
-        assert rpc(w.at, X_Txn="7", tier="basic")[0] == 409 and rpc(w.at, X_Txn="7", lane="seal", method="POST",
-                                                                    Idempotency_Key="7")[0] == 409
+        assert (
+            rpc(w.at, X_Txn="7", tier="basic")[0] == 409
+            and rpc(w.at, X_Txn="7", lane="seal", method="POST", Idempotency_Key="7")[0] == 409
+        )
         assert rpc(w.at, X_Txn="8")[0] == 200
         assert link.getresponse().read() == b"made for 7 " and [seen[2]["x-txn"] for seen in w.seen()] == ["7", "8"]
         assert rpc(w.at, X_Txn="7")[0] == 200
@@ -109,7 +132,7 @@
 
 def test_idle_clients_leave_room_for_others(world):
     with world(echo) as w:
-        idle = [socket.create_connection(configuration.address(w.at)) for _ in range(300)]    # of 256 descriptors
+        idle = [socket.create_connection(configuration.address(w.at)) for _ in range(300)]  # of 256 descriptors
         time.sleep(0.3)
         assert all(rpc(w.at)[0] == 200 for _ in range(5))
         for sock in idle:
@@ -118,6 +141,7 @@
 
 def test_a_request_that_waits_unread_is_no_idle_connection(world):
     """Many clients connect and ask at once, more than there is room for: none is closed without an answer."""
+
     def slow(handler, body):
         time.sleep(0.2)
         echo(handler, body)
@@ -125,7 +149,7 @@
     with world(slow) as w:
         for _ in range(3):
             asking = [socket.create_connection(configuration.address(w.at), timeout=3) for _ in range(120)]
-            for number, sock in reversed([*enumerate(asking)]):     # each its own id: others get 409 at once
+            for number, sock in reversed([*enumerate(asking)]):  # each its own id: others get 409 at once
                 sock.sendall(request_bytes(**{"X-Remaining-Ms": "2000", "X-Txn": str(number)}))
             assert all(sock.recv(65536).startswith(b"HTTP/1.1 ") for sock in asking)
             for sock in asking:
@@ -150,7 +174,9 @@
         head = Head()
         head.headers = [(name.encode(), value) for name, value in fields.items()]
         customer = b"%016x" % chance.getrandbits(34)
-        head.target = b"/api?client=" + customer[:chance.choice([16, 16, 16, 15])] + chance.choice([b"", b"&a=b", b"%"])
+        head.target = (
+            b"/api?client=" + customer[: chance.choice([16, 16, 16, 15])] + chance.choice([b"", b"&a=b", b"%"])
+        )
         try:
             exchange = trio.run(main)
         except BadRequest:
--- a/tests/test_closes.py
+++ b/tests/test_closes.py
@@ -1,4 +1,5 @@
 """Connections of clients at the instant in which they end: what was written arrives, what crossed is never sent on."""
+
 import math
 import os
 import socket
@@ -33,11 +34,15 @@
 BAD = request_bytes(**{"X-Lane": "nothing"})
 
 
-@pytest.mark.parametrize("data, status", [
-    (BAD, b"400"),                                                                      # bad request
-    (request_bytes(**{"Connection": "close", "X-Txn": "2"}), b"200"),                   # the client asks for the end
-    (b"POST /api HTTP/1.1\r\nHost: a\r\nContent-Length: 99999\r\n\r\n", b"413"),        # over-large
-    (b"\x00\xff\r\n\r\n", b"400")])
+@pytest.mark.parametrize(
+    "data, status",
+    [
+        (BAD, b"400"),  # bad request
+        (request_bytes(**{"Connection": "close", "X-Txn": "2"}), b"200"),  # the client asks for the end
+        (b"POST /api HTTP/1.1\r\nHost: a\r\nContent-Length: 99999\r\n\r\n", b"413"),  # over-large
+        (b"\x00\xff\r\n\r\n", b"400"),
+    ],
+)
 def test_what_stands_unread_behind_the_last_answer_does_not_reset_it(world, data, status):
     """The client sends on behind what ends its connection, more than is ever read, and reads late."""
     with world(echo) as w, closing(opened(w.at)) as sock:
@@ -54,11 +59,11 @@
         sock.sendall(request_bytes(**{"X-Txn": "1"}))
         assert b"made for 1 " in sock.recv(65536)
         begun = time.monotonic()
-        assert sock.recv(1) == b"" and time.monotonic() - begun < IDLE + 1      # the gateway has ended its sending
-        sock.sendall(request_bytes(**{"X-Txn": "2"}))       # on its way in that very moment
+        assert sock.recv(1) == b"" and time.monotonic() - begun < IDLE + 1  # the gateway has ended its sending
+        sock.sendall(request_bytes(**{"X-Txn": "2"}))  # on its way in that very moment
         time.sleep(0.1)
         sock.sendall(request_bytes(**{"X-Txn": "3"})[:-9])
-        assert rest(sock) == b""                            # no reset: the client sends it anew on another connection
+        assert rest(sock) == b""  # no reset: the client sends it anew on another connection
         assert rpc(w.at, X_Txn="2")[0] == 200
         assert [seen[2]["x-txn"] for seen in w.seen()] == ["1", "2"]
 
@@ -96,11 +101,11 @@
         sock = opened(w.at)
         sock.sendall(request_bytes(**{"X-Remaining-Ms": "1500"}))
         assert until(w.seen)
-        sock.sendall(b"GET /-/nothing HTTP/1.1\r\nHost: a\r\n\r\n" * 9000)     # 350 KB
+        sock.sendall(b"GET /-/nothing HTTP/1.1\r\nHost: a\r\n\r\n" * 9000)  # 350 KB
         time.sleep(0.1)
         gone = time.monotonic()
         sock.close()
-        assert until(lambda: ended) and ended[0] - gone < 0.3      # its call-out is cancelled
+        assert until(lambda: ended) and ended[0] - gone < 0.3  # its call-out is cancelled
 
 
 @contextmanager
@@ -109,8 +114,13 @@
     queue, inbox = trio.open_memory_channel(math.inf)
     listener = socket.create_server(("127.0.0.1", 0))
     listener.setblocking(False)
-    yield lambda nursery, most=50: Clients(surroundings(tmp_path), listener, most, queue, nursery,
-                                           structlog.get_logger()), listener.getsockname(), inbox
+    yield (
+        lambda nursery, most=50: Clients(
+            surroundings(tmp_path), listener, most, queue, nursery, structlog.get_logger()
+        ),
+        listener.getsockname(),
+        inbox,
+    )
     listener.close()
 
 
@@ -123,14 +133,15 @@
                 for number, sock in enumerate(socks):
                     sock.sendall(request_bytes(**{"X-Txn": str(number)}))
                 clients.leaving = True
-                clients.accepting.cancel()      # its time is over before a single one was taken
+                clients.accepting.cancel()  # its time is over before a single one was taken
                 await clients.run()
                 with trio.fail_after(2):
                     came = [await inbox.receive() for _ in socks]
                 assert sorted(told.exchange.id for told in came) == [b"0", b"1", b"2", b"3", b"4"]
                 for told in came:
-                    told.exchange.answer(SimpleNamespace(status=503, body=b"", content_type=None, retry_after=0.0,
-                                                         last=False))
+                    told.exchange.answer(
+                        SimpleNamespace(status=503, body=b"", content_type=None, retry_after=0.0, last=False)
+                    )
                 for sock in socks:
                     sock.settimeout(2)
                     assert (await trio.to_thread.run_sync(rest, sock)).startswith(b"HTTP/1.1 503")
@@ -168,6 +179,7 @@
 
 def test_nothing_is_written_into_an_answer_that_the_client_reads_slowly(tmp_path):
     """Half a request stands behind an answer that is still being written: its time begins when that is done."""
+
     async def main():
         with listening(tmp_path) as (clients_in, _, _):
             async with trio.open_nursery() as nursery:
@@ -192,17 +204,20 @@
 
 def _tcp(sock):
     """A socket pair's end that takes the options of TCP."""
+
     class Pair:
         def __getattr__(self, name):
             return getattr(sock, name)
 
         def setsockopt(self, *args):
             pass
+
     return Pair()
 
 
 def test_a_client_that_comes_and_goes_in_one_turn_is_told_in_that_order(tmp_path):
     """However many wait for the keeper: nothing is sent on for one that has gone."""
+
     async def main():
         with listening(tmp_path) as (clients_in, address, inbox):
             async with trio.open_nursery() as nursery:
@@ -229,6 +244,7 @@
 
 def test_a_request_sent_anew_while_it_is_held_runs_once_and_is_answered_on_each_connection(world):
     """The client saw its connection end, the gateway has not: the same request comes on another one."""
+
     def held(handler, body):
         assert go_on.wait(5)
         echo(handler, body)
@@ -243,7 +259,7 @@
         gone.sendall(b"x")
         assert until(w.seen)
         gone.close()
-        time.sleep(0.2)     # for what must not come: a second copy
+        time.sleep(0.2)  # for what must not come: a second copy
         go_on.set()
         answers = [sock.recv(65536) for sock in (first, anew)]
         assert all(got.startswith(b"HTTP/1.1 200") and got.endswith(b"made for 7 ") for got in answers)
@@ -253,7 +269,7 @@
         anew.sendall(request.replace(b": 7", b": 8"))
         assert until(lambda: len(w.seen()) == 2)
         time.sleep(0.1)
-        first.close()       # one connection waits on alone
+        first.close()  # one connection waits on alone
         time.sleep(0.1)
         go_on.set()
         assert anew.recv(65536).endswith(b"made for 8 ") and len(w.seen()) == 2
@@ -262,6 +278,7 @@
 
 def test_an_answer_in_the_very_turn_in_which_its_client_is_seen_to_go_ends_nothing_else(tmp_path):
     """The keeper answers before it is told that the client has left."""
+
     async def main():
         with listening(tmp_path) as (clients_in, address, inbox):
             async with trio.open_nursery() as nursery:
@@ -273,7 +290,7 @@
                 sock.close()
                 left = await inbox.receive()
                 assert isinstance(left, Left) and left.exchange is came.exchange
-                came.exchange.answer(None)      # to nobody
+                came.exchange.answer(None)  # to nobody
                 assert not clients.ids
                 nursery.cancel_scope.cancel()
 
@@ -282,6 +299,7 @@
 
 def test_idle_clients_fill_the_descriptors_while_discovery_is_down_and_the_news_still_comes(world):
     """Clients connect anew as often as they are closed. The watch gets a descriptor, and nothing spins."""
+
     def drop(handler, body):
         handler.close_connection = True
 
@@ -310,7 +328,7 @@
         assert until(lambda: len(os.listdir(f"/proc/{w.process.pid}/fd")) > 100)
         time.sleep(1)
         assert len(os.listdir(f"/proc/{w.process.pid}/fd")) <= 256
-        over.set()      # from here on they only hold what they have, and reopen nothing
+        over.set()  # from here on they only hold what they have, and reopen nothing
         for thread in threads:
             thread.join()
         idle = [opened(w.at) for _ in range(400)]
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -1,4 +1,5 @@
 """Thirty gateways, one checker of cold servers: all together send N + 2 x root of N + 2 at most in a time."""
+
 import math
 import random
 
@@ -9,7 +10,7 @@
 from oakfork.brain import Brain
 from oakfork.interface import SECOND, State, Status
 
-WORK = 1_000        # tenths of a millisecond: the mean work of an RPC here, and its latency at an idle server
+WORK = 1_000  # tenths of a millisecond: the mean work of an RPC here, and its latency at an idle server
 CORES = 3
 START = 100 * SECOND
 
@@ -36,8 +37,17 @@
 class Tier:
     def __init__(self, seed: int, **more) -> None:
         self.dice = random.Random(seed)
-        self.settings = dict(fall_multiple=3.0, fall_time=3 * SECOND, cold_share=0.25, cold_time=18 * SECOND,
-                             mail_per_s=100.0, probing=False) | more
+        self.settings = (
+            dict(
+                fall_multiple=3.0,
+                fall_time=3 * SECOND,
+                cold_share=0.25,
+                cold_time=18 * SECOND,
+                mail_per_s=100.0,
+                probing=False,
+            )
+            | more
+        )
         self.truth = {server: (State.READY, 0) for server in range(8)}
         self.checker = Checker(birth(**self.settings))
         self.brains, self.wakes, self.events = [], [], []
@@ -60,16 +70,22 @@
             if isinstance(command, face.Wake):
                 self.events.append((self.now + command.after, index, face.TimeCame(command.token)))
             elif isinstance(command, face.Tell) and self.dice.random() > 0.05:
-                self.events.append((self.now + self.dice.randint(10, 400), command.peer,
-                                    face.PeerFrame(index, command.data)))
+                self.events.append(
+                    (self.now + self.dice.randint(10, 400), command.peer, face.PeerFrame(index, command.data))
+                )
             elif isinstance(command, face.Probe):
                 self.checker.reached(command.server, 0, self.now)
                 self.events.append((self.now + 15, index, face.ProbeEnded(command.server, Status.OK, 15, ())))
             elif isinstance(command, face.Send):
                 self.checker.reached(command.server, self.truth[command.server][1], self.now)
                 took = int(WORK * self.dice.uniform(0.4, 1.6))
-                self.events.append((self.now + took, index, face.CallOutEnded(
-                    command.rpc, 0, command.server, took, Status.OK, True, 0, ())))
+                self.events.append(
+                    (
+                        self.now + took,
+                        index,
+                        face.CallOutEnded(command.rpc, 0, command.server, took, Status.OK, True, 0, ()),
+                    )
+                )
 
     def run(self, seconds: float, each: float = 8.0) -> None:
         """So many RPCs a second come to each gateway; time goes on by two milliseconds."""
@@ -94,8 +110,15 @@
 
 
 @pytest.mark.parametrize("seed", range(2))
-@pytest.mark.parametrize("more", [{}, {"connection_price": 0.08}, {"second_copies": True, "probing": True},
-                                  {"cold_share": 0.5, "fall_multiple": 2.0, "fall_time": 2 * SECOND}])
+@pytest.mark.parametrize(
+    "more",
+    [
+        {},
+        {"connection_price": 0.08},
+        {"second_copies": True, "probing": True},
+        {"cold_share": 0.5, "fall_multiple": 2.0, "fall_time": 2 * SECOND},
+    ],
+)
 def test_thirty_gateways_push_no_cold_server_over(seed, more):
     """Half of the servers start, all at once or one after the other, told at different times; two thirds of the
     gateways restart in between, and those that come back know nothing but the list."""
@@ -108,11 +131,11 @@
     for index in tier.dice.sample(range(30), 20):
         tier.launch(index)
     tier.run(4)
-    for index in range(0, 30, 2):       # a rolling restart: one after the other
+    for index in range(0, 30, 2):  # a rolling restart: one after the other
         tier.launch(index)
         tier.run(0.1)
     tier.run(3)
-    assert tier.checker.worst > 0.1     # they are used
+    assert tier.checker.worst > 0.1  # they are used
 
 
 def test_the_checker_finds_gateways_that_do_not_share(monkeypatch):
--- a/tests/test_contracts.py
+++ b/tests/test_contracts.py
@@ -1,4 +1,5 @@
 """Contracts: the book, parts that never sum to more than the whole, dealing by demand, and the gate."""
+
 import copy
 import socket
 from datetime import UTC, datetime
@@ -20,11 +21,29 @@
 from oakfork.leases.runner import Leases
 
 WINDOW = {"from": "2027-01-01T00:00:00Z", "until": "2027-03-01T00:00:00Z"}
-BOOK = {"site": [{"name": name, "legs_per_s": 100.0} for name in ("hai-phong", "cai-mep", "can-tho")],
-        "contract": [{"tenant": "gemadept", "customers": ["00000000000000a1"], "legs_per_s": 80.0, "burst": 20,
-                      "open": 40, "window": [WINDOW | {"daily_from": "22:00", "daily_until": "04:00"}], "goes": 1},
-                     {"tenant": "viconship", "customers": ["00000000000000b1"], "legs_per_s": 120.0, "burst": 20,
-                      "open": 40, "window": [WINDOW], "goes": 2}]}
+BOOK = {
+    "site": [{"name": name, "legs_per_s": 100.0} for name in ("hai-phong", "cai-mep", "can-tho")],
+    "contract": [
+        {
+            "tenant": "gemadept",
+            "customers": ["00000000000000a1"],
+            "legs_per_s": 80.0,
+            "burst": 20,
+            "open": 40,
+            "window": [WINDOW | {"daily_from": "22:00", "daily_until": "04:00"}],
+            "goes": 1,
+        },
+        {
+            "tenant": "viconship",
+            "customers": ["00000000000000b1"],
+            "legs_per_s": 120.0,
+            "burst": 20,
+            "open": 40,
+            "window": [WINDOW],
+            "goes": 2,
+        },
+    ],
+}
 
 
 def changed(**places):
@@ -43,22 +62,36 @@
     contract = book.contracts[0]
     assert book.capacity == 300 and contract.customers == {0xA1}
     assert [contract.holds(datetime(2027, 1, 20, hour, 59, tzinfo=UTC)) for hour in (21, 22, 3, 4)] == [
-        False, True, True, False]
+        False,
+        True,
+        True,
+        False,
+    ]
     assert not contract.holds(datetime(2027, 3, 1, 23, tzinfo=UTC))
 
 
-@pytest.mark.parametrize("told, place", [
-    (changed(contract__0__legs_per_s=81.0), "contract: at 2027-01-01T00:00:00+00:00 gemadept, viconship have 201"),
-    (changed(contract__1__sites=["can-tho", "cai-mep"], contract__1__legs_per_s=101.0), "contract: at 2027-01-01"),
-    (changed(site=[{"name": n, "legs_per_s": 100.0, "home": True} for n in "ab"]), "site: a and b"),
-    (changed(contract__1__sites=["nowhere"]), "contract[1].sites"), (changed(contract__0__goes=-1), "contract[0].goes"),
-    (changed(contract__1__customers=["00000000000000a1"]), "contract[1].customers"),
-    (changed(contract__0__window=[{"from": "2027-01-01T00:00:00", "until": "2027-02-01T00:00:00Z"}]),
-     "contract[0].window[0]"), (changed(contract__0__customers=["xyz"]), "contract[0].customers[0]"),
-    (changed(contract__0__window=[{"from": "2027-02-01T00:00:00Z", "until": "2027-01-01T00:00:00Z"}]),
-     "contract[0].window[0].until"), (changed(contract__0__burst="much"), "contract[0].burst"),
-    (changed(contract__0__window=[WINDOW | {"daily_from": "22:00"}]), "contract[0].window[0]"),
-])
+@pytest.mark.parametrize(
+    "told, place",
+    [
+        (changed(contract__0__legs_per_s=81.0), "contract: at 2027-01-01T00:00:00+00:00 gemadept, viconship have 201"),
+        (changed(contract__1__sites=["can-tho", "cai-mep"], contract__1__legs_per_s=101.0), "contract: at 2027-01-01"),
+        (changed(site=[{"name": n, "legs_per_s": 100.0, "home": True} for n in "ab"]), "site: a and b"),
+        (changed(contract__1__sites=["nowhere"]), "contract[1].sites"),
+        (changed(contract__0__goes=-1), "contract[0].goes"),
+        (changed(contract__1__customers=["00000000000000a1"]), "contract[1].customers"),
+        (
+            changed(contract__0__window=[{"from": "2027-01-01T00:00:00", "until": "2027-02-01T00:00:00Z"}]),
+            "contract[0].window[0]",
+        ),
+        (changed(contract__0__customers=["xyz"]), "contract[0].customers[0]"),
+        (
+            changed(contract__0__window=[{"from": "2027-02-01T00:00:00Z", "until": "2027-01-01T00:00:00Z"}]),
+            "contract[0].window[0].until",
+        ),
+        (changed(contract__0__burst="much"), "contract[0].burst"),
+        (changed(contract__0__window=[WINDOW | {"daily_from": "22:00"}]), "contract[0].window[0]"),
+    ],
+)
 def test_a_book_that_is_not_is_refused_with_the_place_or_the_instant(told, place):
     with pytest.raises(BookError) as refused:
         books.checked(told)
@@ -68,8 +101,12 @@
 def test_windows_that_meet_only_at_night_are_found_and_those_that_never_meet_are_not():
     at_noon = WINDOW | {"daily_from": "10:00", "daily_until": "14:00"}
     assert books.checked(changed(contract__0__legs_per_s=150.0, contract__1__window=[at_noon]))
-    late = {"from": "2027-02-20T12:00:00Z", "until": "2027-02-25T00:00:00Z", "daily_from": "03:30",
-            "daily_until": "05:00"}
+    late = {
+        "from": "2027-02-20T12:00:00Z",
+        "until": "2027-02-25T00:00:00Z",
+        "daily_from": "03:30",
+        "daily_until": "05:00",
+    }
     with pytest.raises(BookError, match="2027-02-21T03:30"):
         books.checked(changed(contract__0__legs_per_s=150.0, contract__1__window=[late]))
 
@@ -144,18 +181,32 @@
     assert machine.loans
 
 
-TWO_BORROW = [("asks_for", 1, 0, 10_000), ("an_asking_arrives", 0, 15_000), ("an_answer_arrives", 0),
-              ("asks_for", 2, 0, 10_000), ("an_asking_arrives", 1, 15_000), ("an_answer_arrives", 1)]
+TWO_BORROW = [
+    ("asks_for", 1, 0, 10_000),
+    ("an_asking_arrives", 0, 15_000),
+    ("an_answer_arrives", 0),
+    ("asks_for", 2, 0, 10_000),
+    ("an_asking_arrives", 1, 15_000),
+    ("an_answer_arrives", 1),
+]
 LATE = [*TWO_BORROW[:2], ("time_goes_on", 900), TWO_BORROW[2], ("time_goes_on", 300), ("time_goes_on", 300)]
 
 
-@pytest.mark.parametrize("name, broken, steps", [
-    ("stretched", lambda self, time: time, [*TWO_BORROW, ("time_goes_on", 950)]),       # a lender counts no margin
-    ("started", lambda even, now, lengths: parts.Part(even, now), [*TWO_BORROW, ("restarts", 0)]),  # used at once
-    ("lent", lambda part, now: sum(loan.amount for loan in part.given[-1:] if now < loan.until), TWO_BORROW),
-    ("borrowed", lambda part, now, lender, amount, asked_at, lengths: part._replace(
-        taken=(*part.taken, parts.Loan(lender, amount, now + lengths.lease))), LATE),   # counted from the answer
-])
+@pytest.mark.parametrize(
+    "name, broken, steps",
+    [
+        ("stretched", lambda self, time: time, [*TWO_BORROW, ("time_goes_on", 950)]),  # a lender counts no margin
+        ("started", lambda even, now, lengths: parts.Part(even, now), [*TWO_BORROW, ("restarts", 0)]),  # used at once
+        ("lent", lambda part, now: sum(loan.amount for loan in part.given[-1:] if now < loan.until), TWO_BORROW),
+        (
+            "borrowed",
+            lambda part, now, lender, amount, asked_at, lengths: part._replace(
+                taken=(*part.taken, parts.Loan(lender, amount, now + lengths.lease))
+            ),
+            LATE,
+        ),  # counted from the answer
+    ],
+)
 def test_parts_that_are_counted_wrong_are_found_out(name, broken, steps, monkeypatch):
     played(*steps)
     monkeypatch.setattr(Lengths if name == "stretched" else parts, name, broken)
@@ -178,8 +229,8 @@
 
 def test_one_that_has_all_the_demand_is_dealt_what_the_others_can_spare():
     even = [parts.even_part(40, gateway, 4) for gateway in range(4)]
-    assert dealer.targets(even, {0: 60_000, 1: 0, 2: 0, 3: 0})[0] == 37_000     # a tenth stays with each of the others
-    assert dealer.targets(even, {}) == even     # nobody was heard
+    assert dealer.targets(even, {0: 60_000, 1: 0, 2: 0, 3: 0})[0] == 37_000  # a tenth stays with each of the others
+    assert dealer.targets(even, {}) == even  # nobody was heard
 
 
 def pressed(gate, tenants, seconds, per_second, who_asks, whole=30_000):
@@ -207,7 +258,7 @@
 def test_what_is_reserved_and_idle_is_lent_and_back_at_once():
     asks = (lambda at: 0 if at < 4 else 10), 300
     went, _ = pressed(Gate(SECOND), {7: Tenant(10_000, 3, 9, 0)}, 8, asks, (7, None))
-    assert all(27 <= legs <= 31 for legs in went[None][2:4])        # all that the sites can do
+    assert all(27 <= legs <= 31 for legs in went[None][2:4])  # all that the sites can do
     assert went[7][4] >= 9 and all(legs >= 10 for legs in went[7][5:])
     assert BACK <= SECOND // 5
 
@@ -254,8 +305,13 @@
     path = tmp_path / "book.toml"
     always = [{"from": "2020-01-01T00:00:00Z", "until": "2099-01-01T00:00:00Z"}]
     path.write_bytes(tomli_w.dumps(changed(contract__0__window=always, contract__1__window=always, **more)).encode())
-    file = fleetfile.checked({"revision": 1, "addresses": [free_port(socket.SOCK_DGRAM), "127.0.0.1:1", "127.0.0.1:2"],
-                              "leases": {"voters": [0], "length_ms": 300, "act_ms": 50, "drift_permille": 10}})
+    file = fleetfile.checked(
+        {
+            "revision": 1,
+            "addresses": [free_port(socket.SOCK_DGRAM), "127.0.0.1:1", "127.0.0.1:2"],
+            "leases": {"voters": [0], "length_ms": 300, "act_ms": 50, "drift_permille": 10},
+        }
+    )
     post = Post(file, 0)
     post.sock.close()
     return Contracts(str(path), file, 0, post, Leases(file, 0, post, structlog.get_logger()), structlog.get_logger())
@@ -271,9 +327,9 @@
     assert set(force[home][1]) == {gemadept} and set(force[other][1]) == {gemadept, viconship}
     assert force[home][0] == pytest.approx(100_000 / 3, abs=1) and force[home][1][gemadept].part == 26_667
     one.listed(9)
-    one.listed(6)       # a third of the servers at home are gone
+    one.listed(6)  # a third of the servers at home are gone
     assert one.in_force(now)[home][0] == pytest.approx(200_000 / 9, abs=1)
     assert one.in_force(now)[other][0] == pytest.approx(100_000 / 3, abs=1)
-    contract, verdict = one.arrives(0xB1)       # an ordinary RPC goes home, where viconship has nothing reserved
+    contract, verdict = one.arrives(0xB1)  # an ordinary RPC goes home, where viconship has nothing reserved
     assert contract is None and not verdict.reserved
     assert one.arrives(0xB1, site=other)[0] == viconship
--- a/tests/test_control_bursts.py
+++ b/tests/test_control_bursts.py
@@ -1,4 +1,5 @@
 """Bursts: change sets come faster than those who follow take them, and are merged on the way."""
+
 from controlhand import Hand, P, follows, goes_on, served
 from controlwitness import filled
 from controlworld import World, put
@@ -24,15 +25,19 @@
     hand = served([put("a", b"1"), put("b", b"1")])
     jumps(hand, put("a", b"2"), put("c", b"1"))
     jumps(hand, put("b", b"2"))
-    for number, rows in ((5, {"a": b"2", "c": b"1", "b": b"2"}), (6, {"a": b"2", "c": b"1", "b": b"2"}),
-                         (8, {"b": b"2"}), (9, {"b": b"2"})):
+    for number, rows in (
+        (5, {"a": b"2", "c": b"1", "b": b"2"}),
+        (6, {"a": b"2", "c": b"1", "b": b"2"}),
+        (8, {"b": b"2"}),
+        (9, {"b": b"2"}),
+    ):
         follows(hand, number, position=P(1, number), digest=number)
         told = hand.last(number)
         assert isinstance(told, Delta) and told.digest == whole(hand.machine.store.sums)
         assert (told.after, told.position) == (P(1, number), P(1, 10))
         assert {row.name: row.value for row in told.rows} == rows
     follows(hand, 1, position=P(1, 3))
-    assert isinstance(hand.last(1), Digests)        # before all that is known
+    assert isinstance(hand.last(1), Digests)  # before all that is known
 
 
 def test_one_of_another_lineage_finds_that_out_and_gets_ranges():
@@ -45,13 +50,13 @@
     assert isinstance(hand.last(1), Digests)
     hand.hear(1, Want(()))
     goes_on(hand, put("c", b"1"))
-    hand.hear(1, Ack(P(1, 7), 99))                  # elsewhere, and damaged there
+    hand.hear(1, Ack(P(1, 7), 99))  # elsewhere, and damaged there
     assert isinstance(hand.last(1), Digests)
 
 
 def test_a_whole_state_is_no_step_that_one_may_have_passed():
     hand = Hand(Feeder("it", Records(), P(), lambda now: 0))
-    jumps(hand, put("a", b"1"))     # from nothing to (1, 3)
+    jumps(hand, put("a", b"1"))  # from nothing to (1, 3)
     follows(hand, 1, position=P(1, 2), digest=7)
     assert isinstance(hand.last(1), Digests)
 
@@ -70,7 +75,7 @@
         hand.hear(-1, Beat(P(1, number + 5), number * 1_000))
         hand.wait(1_000)
     assert hand.closed == {} and hand.machine.position == P(1, 61)
-    for _ in range(25):     # where it is up to date, and the relay has long not heard of the publisher, it does
+    for _ in range(25):  # where it is up to date, and the relay has long not heard of the publisher, it does
         hand.hear(-1, Beat(P(1, 61), 90_000))
         hand.wait(1_000)
     assert hand.closed[-1] == "stale"
@@ -89,7 +94,7 @@
     for number in range(400):
         world.submit(put(f"s{number % 50}", b"%d" % number))
         if not number % 10:
-            world.nodes[f"r{world.chance.randrange(3)}"].stop(world.chance.randint(500, 4_000))     # others go on
+            world.nodes[f"r{world.chance.randrange(3)}"].stop(world.chance.randint(500, 4_000))  # others go on
         if not number % 2:
             world.nodes[f"g{world.chance.randrange(9)}"].break_links()
         world.run(300)
--- a/tests/test_control_bytes.py
+++ b/tests/test_control_bytes.py
@@ -1,4 +1,5 @@
 """Any bytes at any moment at each port of publisher and relays, and from a false relay: counted, never believed."""
+
 import json
 import random
 
@@ -30,12 +31,27 @@
 
 def frames(chance):
     """One of each kind that could come, and some that could not."""
-    return framed(pack(chance.choice((
-        Hello(VERSION, "x", False, Position(1, 9), 5), Hello(VERSION, "x", True, Position(), 0),
-        Hello(VERSION + 1, "x", False, Position(), 0), Hello(VERSION, "g1", False, Position(0, 7), 1),
-        Ack(Position(1, 1), 3), Want((1, 2, 3)), Ask(), Submit("id", b"{}"), Submit("id", chance.randbytes(50)),
-        Welcome(VERSION, "x", Position(5, 5)), Beat(Position(7, 1), 0), Verdict("id", None, ("x",)),
-        Delta(Position(), Position(9, 9), 1, (Row(Kind.SERVER, "evil", b"1"),), False)))))
+    return framed(
+        pack(
+            chance.choice(
+                (
+                    Hello(VERSION, "x", False, Position(1, 9), 5),
+                    Hello(VERSION, "x", True, Position(), 0),
+                    Hello(VERSION + 1, "x", False, Position(), 0),
+                    Hello(VERSION, "g1", False, Position(0, 7), 1),
+                    Ack(Position(1, 1), 3),
+                    Want((1, 2, 3)),
+                    Ask(),
+                    Submit("id", b"{}"),
+                    Submit("id", chance.randbytes(50)),
+                    Welcome(VERSION, "x", Position(5, 5)),
+                    Beat(Position(7, 1), 0),
+                    Verdict("id", None, ("x",)),
+                    Delta(Position(), Position(9, 9), 1, (Row(Kind.SERVER, "evil", b"1"),), False),
+                )
+            )
+        )
+    )
 
 
 @pytest.mark.parametrize("seed", range(3))
@@ -74,7 +90,7 @@
         for _ in range(60):
             await throw(chance.choice((it.publisher_at, it.relays_at[0])))
         for place in (it.publisher_at, it.relays_at[0]):
-            async with await trio.open_tcp_stream(*address(place)) as stream:     # ended by the other side, at once
+            async with await trio.open_tcp_stream(*address(place)) as stream:  # ended by the other side, at once
                 await stream.send_all(framed(b"\xc1"))
                 with trio.fail_after(WAIT):
                     while await stream.receive_some():
@@ -85,6 +101,7 @@
         await it.everywhere(await it.publish(servers(range(3), "after")))
         assert connected == [agent.machine.link for agent in it.agents]
         assert all(agent.record(Kind.SERVER, "evil") is None for agent in it.agents)
+
     play(tmp_path, work)
 
 
@@ -102,16 +119,26 @@
         told = await client.status(it.publisher_at)
         assert told["higher_term"] == 7 and "OLDER TERM: there is a publisher of term 7" in shown.text(told)
         assert all(agent.position == position and agent.record(Kind.SERVICE, "search") for agent in it.agents)
+
     play(tmp_path, work)
 
 
-@pytest.mark.parametrize("data", [
-    b"HTTP/1.1 400 Bad Request\r\n\r\n", framed(b"\xc1"), framed(b""), framed(pack(Beat(Position(1, 1), 0))),
-    framed(pack(Welcome(VERSION + 1, "f", Position(1, 1)))), framed(pack(Ask())), framed(pack(Ask()))[:3],
-    framed(pack(Welcome(VERSION, "f", Position(1, 1)))) + framed(pack(Delta(
-        Position(), Position(1, 1), 5, (Row(Kind.SERVER, "evil", b"1"),), False))) * 2,
-    framed(pack(Welcome(VERSION, "f", Position(1, 1)))) + b"\xff" * 99,
-], ids=range(9))
+@pytest.mark.parametrize(
+    "data",
+    [
+        b"HTTP/1.1 400 Bad Request\r\n\r\n",
+        framed(b"\xc1"),
+        framed(b""),
+        framed(pack(Beat(Position(1, 1), 0))),
+        framed(pack(Welcome(VERSION + 1, "f", Position(1, 1)))),
+        framed(pack(Ask())),
+        framed(pack(Ask()))[:3],
+        framed(pack(Welcome(VERSION, "f", Position(1, 1))))
+        + framed(pack(Delta(Position(), Position(1, 1), 5, (Row(Kind.SERVER, "evil", b"1"),), False))) * 2,
+        framed(pack(Welcome(VERSION, "f", Position(1, 1)))) + b"\xff" * 99,
+    ],
+    ids=range(9),
+)
 def test_a_follower_believes_nothing_that_a_false_relay_says(tmp_path, data):
     async def false(stream):
         try:
@@ -131,4 +158,5 @@
         await until(lambda: agent.position == position)
         assert agent.record(Kind.SERVER, "evil") is None and agent.record(Kind.SERVICE, "search")
         assert "the machine failed" not in agent.counts and agent.counts
+
     play(tmp_path, work, followers=0)
--- a/tests/test_control_circles.py
+++ b/tests/test_control_circles.py
@@ -1,4 +1,5 @@
 """Relays whose upstreams lead round: each finds by a Beat's way that it follows itself, and turns to another."""
+
 import pytest
 from controlhand import Hand, follows
 from controlworld import World, put
@@ -23,15 +24,15 @@
     hand = relay()
     follows(hand, 1, relay=True)
     follows(hand, 2)
-    assert hand.new(1)[-1].way == ("r",) and hand.new(2)[-1].way == ()      # who serves nobody is told none
-    hand.hear(-1, Beat(P(), 0, ("p", "o")))     # another way: not only every half of a beat
+    assert hand.new(1)[-1].way == ("r",) and hand.new(2)[-1].way == ()  # who serves nobody is told none
+    hand.hear(-1, Beat(P(), 0, ("p", "o")))  # another way: not only every half of a beat
     assert hand.new(1) == [Beat(P(), 0, ("r", "p", "o"))]
     hand.hear(-1, Beat(P(), 0, ("p", "o")))
     assert hand.new(1) == []
     hand.wait(BEAT)
     hand.hear(-1, Beat(P(), 0, ("p", *map(str, range(MOST_WAY - 1)))))
-    assert len(hand.new(1)[-1].way) == MOST_WAY     # what it has no room for is left out
-    hand.wait(4 * BEAT)     # silence
+    assert len(hand.new(1)[-1].way) == MOST_WAY  # what it has no room for is left out
+    hand.wait(4 * BEAT)  # silence
     follows(hand, 3, relay=True)
     assert hand.last(3).way == ("r",)
 
--- a/tests/test_control_feeder.py
+++ b/tests/test_control_feeder.py
@@ -1,4 +1,5 @@
 """The feeder, spoken to by hand: who is sent what, in which turn, and who is closed."""
+
 import msgspec
 from controlhand import Hand, P, follows, goes_on, served
 from controlworld import put
@@ -26,6 +27,7 @@
 
 # The feeder
 
+
 def test_one_that_is_up_to_date_is_welcomed_and_hears_of_each_change():
     hand = served([put("a", b"1")])
     follows(hand, 1)
@@ -35,7 +37,7 @@
     assert hand.new(1) == [Delta(P(1, 4), P(1, 5), digest, (put("a", b"2"),), False)]
     goes_on(hand, put("a", b"3"), put("b", b"1"))
     goes_on(hand, put("a", b"4"))
-    assert hand.new(1) == []    # its Ack is awaited
+    assert hand.new(1) == []  # its Ack is awaited
     hand.hear(1, Ack(P(1, 5), digest))
     [told] = hand.new(1)
     assert (told.after, told.position) == (P(1, 5), P(1, 7))
@@ -111,14 +113,14 @@
     hand = served()
     for link in (1, 2, 3):
         follows(hand, link)
-    goes_on(hand, put("a", b"1"), put("b", b"1"))   # one Delta for all, half sent
+    goes_on(hand, put("a", b"1"), put("b", b"1"))  # one Delta for all, half sent
     assert len(hand.machine.held) == 1 and not hand.machine.blocked
     goes_on(hand, put("c", b"1"), put("d", b"1"))
     follows(hand, 4, position=P(1, 5), digest=hand.machine.history.digest(P(1, 5)))
     assert list(hand.machine.blocked) == [4]
     hand.new(4)
     for link in (1, 2):
-        hand.hear(link, Ack(P(1, 4), 0))    # the last frame of the first goes out
+        hand.hear(link, Ack(P(1, 4), 0))  # the last frame of the first goes out
     assert hand.new(4) == [] and len(hand.machine.held) == 1
     hand.do(Lost(3))
     assert hand.new(4)[0].after == P(1, 5) and not hand.machine.blocked and len(hand.machine.held) == 1
@@ -126,7 +128,7 @@
 
 def test_a_store_of_the_past_or_the_future_is_waited_for_or_left():
     hand = served(position=P(2, 4))
-    follows(hand, 1, position=P(2, 9), digest=5)    # ahead: this one may be catching up
+    follows(hand, 1, position=P(2, 9), digest=5)  # ahead: this one may be catching up
     assert len(hand.new(1)) == 2 and not hand.closed
     follows(hand, 2, position=P(3, 1), digest=5)
     assert hand.last(2) == Goodbye("older term", P(2, 4)) and hand.closed == {2: "older term"}
@@ -134,17 +136,20 @@
     hand.hear(1, Ack(P(3, 9), 5))
     assert hand.closed[1] == "older term"
     hand = Hand(Feeder("it", Records(), P(), lambda now: None))
-    follows(hand, 1, position=P(3, 1), digest=5)    # this one has nothing yet
+    follows(hand, 1, position=P(3, 1), digest=5)  # this one has nothing yet
     assert not hand.closed and not hand.machine.higher
 
 
 def test_what_is_out_of_turn_malformed_or_of_another_version_is_closed_and_said_why():
     hello = Hello(VERSION, "g", False, P(1, 4), 0)
     for told, reason, goodbye in (
-            (None, "malformed", "malformed"), (hello, "out of turn", "malformed"),
-            (Want((1,)), "out of turn", "malformed"),
-            (Report((), (), P(), (), 0), "out of turn", "malformed"), (Submit("x", b""), "out of turn", "malformed"),
-            (Beat(P(), 0), "out of turn", "malformed")):
+        (None, "malformed", "malformed"),
+        (hello, "out of turn", "malformed"),
+        (Want((1,)), "out of turn", "malformed"),
+        (Report((), (), P(), (), 0), "out of turn", "malformed"),
+        (Submit("x", b""), "out of turn", "malformed"),
+        (Beat(P(), 0), "out of turn", "malformed"),
+    ):
         hand = served()
         follows(hand, 1, who="g")
         hand.hear(1, told)
@@ -155,7 +160,7 @@
         hand.do(Connected(link))
         hand.hear(link, told)
         assert hand.closed[link] == reason
-    hand.hear(1, hello)     # of a link that is closed
+    hand.hear(1, hello)  # of a link that is closed
     assert not hand.machine.links
 
 
@@ -170,7 +175,7 @@
     assert 2 not in hand.closed
     hand.wait(2 * BEAT)
     assert hand.closed[2] == "slow" and hand.machine.roster.gone
-    assert hand.machine.beat_at is None     # nobody is left
+    assert hand.machine.beat_at is None  # nobody is left
 
 
 def test_links_are_bounded_and_told_when_it_leaves():
@@ -197,9 +202,9 @@
     hand.hear(1, Ack(P(), 0))
     assert hand.new(1) == [] and list(hand.machine.pace.waiting) == [1]
     hand.hear(2, Ack(P(), 0))
-    hand.hear(2, Ack(P(), 0))   # its last range is out, the Delta goes
+    hand.hear(2, Ack(P(), 0))  # its last range is out, the Delta goes
     assert isinstance(hand.last(2), Delta)
-    hand.wait(5)    # the pace
+    hand.wait(5)  # the pace
     assert isinstance(hand.last(1), Range)
 
 
