--- a/tests/test_control_follower.py
+++ b/tests/test_control_follower.py
@@ -1,4 +1,5 @@
 """The follower, said to by hand: what it believes, what has no effect, when it turns to another."""
+
 from controlwitness import filled
 from controlworld import put
 
@@ -128,18 +129,24 @@
     hand.do(Lost(hand.machine.link))
     assert hand.machine.staged is None and hand.places == ["one", "two"]
     hand.up(P(1, 5))
-    hand.hear(delta(hand, P(1, 4), P(1, 5), two, told=told))    # the rest alone leads nowhere
+    hand.hear(delta(hand, P(1, 4), P(1, 5), two, told=told))  # the rest alone leads nowhere
     assert not hand.forces and "digest differs" in hand.notes and hand.store.value(Kind.SERVER, "b") is None
 
 
 def test_replayed_older_and_foreign_deltas_have_no_effect_and_are_counted():
     hand = Hand([put("a", b"1")], P(2, 4)).up(P(2, 4))
     row = put("a", b"2")
-    for after, position in ((P(2, 3), P(2, 4)), (P(2, 3), P(2, 5)), (P(2, 5), P(2, 6)), (P(1, 4), P(1, 5)),
-                            (P(2, 4), P(2, 4)), (P(2, 4), P(2, 3)), (P(2, 4), P(1, 9))):
+    for after, position in (
+        (P(2, 3), P(2, 4)),
+        (P(2, 3), P(2, 5)),
+        (P(2, 5), P(2, 6)),
+        (P(1, 4), P(1, 5)),
+        (P(2, 4), P(2, 4)),
+        (P(2, 4), P(2, 3)),
+        (P(2, 4), P(1, 9)),
+    ):
         hand.hear(delta(hand, after, position, row))
-    hand.hear(Digests(P(2, 3), tuple(hand.store.sums)), Digests(P(1, 9), tuple(hand.store.sums)),
-              Range(3, (), False))
+    hand.hear(Digests(P(2, 3), tuple(hand.store.sums)), Digests(P(1, 9), tuple(hand.store.sums)), Range(3, (), False))
     assert hand.notes == ["stale"] * 10 and not hand.forces
     assert hand.store.value(Kind.SERVER, "a") == b"1" and hand.machine.position == P(2, 4)
     hand.hear(delta(hand, P(2, 4), P(2, 5), row))
@@ -152,11 +159,11 @@
     for times in range(1, FAILURES + 1):
         hand.hear(delta(hand, P(1, 4), P(1, 5), put("a", b"2"), told=99))
         assert hand.store.value(Kind.SERVER, "a") == b"1" and not hand.forces
-        if times < FAILURES:    # a digest that can't be right, so that it is told the ranges'
+        if times < FAILURES:  # a digest that can't be right, so that it is told the ranges'
             assert hand.said[-1].position == P(1, 4) and hand.said[-1].digest not in (right, 99)
     assert hand.places == ["one", "two"] and hand.closed == ["digest differs"]
     hand.up(P(1, 5))
-    assert hand.said[-1].digest != right    # nor does it trust itself
+    assert hand.said[-1].digest != right  # nor does it trust itself
 
 
 def test_ranges_mend_what_differs_and_nothing_else():
@@ -166,12 +173,21 @@
     differ = {range_of(Kind.SERVER, name) for name in ("s0", "s1", "new")}
     assert hand.said[-1] == Want(tuple(sorted(differ)))
     for number in sorted(differ):
-        hand.hear(Range(number, tuple(put(name, other.value(kind, name)) for _, kind, name in
-                                      filter(None, other.names({number}))), False))
+        hand.hear(
+            Range(
+                number,
+                tuple(put(name, other.value(kind, name)) for _, kind, name in filter(None, other.names({number}))),
+                False,
+            )
+        )
         assert hand.said[-1].position == P(1, 4) and not hand.forces
     hand.hear(Delta(P(1, 4), P(1, 5), digest(other, put("s2", b"w")), (put("s2", b"w"),), False))
     assert hand.machine.position == P(1, 5) and hand.forces[0].changes == {
-        (Kind.SERVER, "s0"): None, (Kind.SERVER, "s1"): b"y", (Kind.SERVER, "new"): b"z", (Kind.SERVER, "s2"): b"w"}
+        (Kind.SERVER, "s0"): None,
+        (Kind.SERVER, "s1"): b"y",
+        (Kind.SERVER, "new"): b"z",
+        (Kind.SERVER, "s2"): b"w",
+    }
 
 
 def test_ranges_that_came_are_kept_where_new_digests_come():
@@ -187,15 +203,20 @@
     other.commit(changes, summed(other, changes))
     hand.hear(Digests(P(1, 9), tuple(other.sums)))
     assert hand.said[-1] == Want((range_of(Kind.SERVER, "s0"),))
-    hand.hear(Range(range_of(Kind.SERVER, "s0"), (put("s0", b"y"),), False),
-              Delta(P(1, 9), P(1, 9), whole(other.sums), (), False))
+    hand.hear(
+        Range(range_of(Kind.SERVER, "s0"), (put("s0", b"y"),), False),
+        Delta(P(1, 9), P(1, 9), whole(other.sums), (), False),
+    )
     assert hand.machine.position == P(1, 9) and hand.store.sums == other.sums
 
 
 def test_one_that_was_mended_where_it_stands_keeps_its_position():
     hand, other = Hand([put("a", b"bad")], P(1, 4)).up(P(1, 4)), filled([put("a", b"good")])
-    hand.hear(Digests(P(1, 4), tuple(other.sums)), Range(range_of(Kind.SERVER, "a"), (put("a", b"good"),), False),
-              Delta(P(1, 4), P(1, 4), whole(other.sums), (), False))
+    hand.hear(
+        Digests(P(1, 4), tuple(other.sums)),
+        Range(range_of(Kind.SERVER, "a"), (put("a", b"good"),), False),
+        Delta(P(1, 4), P(1, 4), whole(other.sums), (), False),
+    )
     assert hand.forces == [InForce(P(1, 4), P(1, 4), {(Kind.SERVER, "a"): b"good"})]
 
 
@@ -222,14 +243,19 @@
         hand.do(Step(), steps=False)
     hand.hear(delta(hand, P(1, 5), P(1, 6), put("s0", b"y")), steps=False)
     assert hand.machine.folding and hand.machine.position == P(1, 5)
-    hand.do(Step())     # of the More that was said before; the others follow
+    hand.do(Step())  # of the More that was said before; the others follow
     assert hand.machine.position == P(1, 6) and hand.store.value(Kind.SERVER, "s0") == b"y"
     assert len(hand.store) == 3 * SLICE and not hand.store.overlay
 
 
 def test_frames_out_of_turn_malformed_or_of_another_version_turn_it_away():
-    for told in (None, Welcome(VERSION, "it", P(1, 4)), Goodbye("full", P(1, 4)), Hello(1, "x", False, P(), 0),
-                 Ack(P(), 0)):
+    for told in (
+        None,
+        Welcome(VERSION, "it", P(1, 4)),
+        Goodbye("full", P(1, 4)),
+        Hello(1, "x", False, P(), 0),
+        Ack(P(), 0),
+    ):
         hand = Hand([], P(1, 4)).up(P(1, 4))
         hand.hear(told)
         assert hand.places == ["one", "two"] and len(hand.closed) == 1
@@ -239,7 +265,7 @@
     assert hand.closed == ["version"]
     hand = Hand([], P(1, 4))
     hand.do(Connected(-1))
-    hand.hear(Beat(P(1, 4), 0))     # before the Welcome
+    hand.hear(Beat(P(1, 4), 0))  # before the Welcome
     assert hand.closed == ["out of turn"]
 
 
@@ -273,7 +299,7 @@
     assert hand.closed == ["silent"] and hand.places == ["one", "two"]
     hand.wait(3_600_000)
     assert hand.machine.age(hand.now) == 3_600_300 + SILENCE and hand.store.value(Kind.SERVER, "a") == b"1"
-    assert 3_600_000 // 10_000 < len(hand.places) < 3_600_000 // 4_000    # five seconds for each, and the pauses
+    assert 3_600_000 // 10_000 < len(hand.places) < 3_600_000 // 4_000  # five seconds for each, and the pauses
 
 
 def test_pauses_grow_and_end_with_something_gained():
@@ -291,7 +317,7 @@
     hand.hear(delta(hand, P(0, 0), P(1, 1), put("a", b"1")))
     count = len(hand.places)
     hand.do(Lost(hand.machine.link))
-    assert len(hand.places) == count + 1    # at once
+    assert len(hand.places) == count + 1  # at once
 
 
 def test_pauses_are_the_same_for_the_same_seed_and_others_for_another():
@@ -302,6 +328,7 @@
             found.append(hand.wake - hand.now)
             hand.wait(found[-1])
         return found
+
     assert pauses(5) == pauses(5) != pauses(6)
 
 
@@ -371,13 +398,15 @@
     monkeypatch.setattr("oakfork.control.staging.MOST_STAGED", 50)
     hand = Hand([], P(1, 4)).up(P(1, 5))
     for frame in range(3):
-        hand.hear(delta(hand, P(1, 4), P(1, 5), *(put(f"{frame}-{number}", b"x") for number in range(20)), more=True,
-                        told=1))
+        hand.hear(
+            delta(hand, P(1, 4), P(1, 5), *(put(f"{frame}-{number}", b"x") for number in range(20)), more=True, told=1)
+        )
     assert hand.closed == ["too much"] and hand.machine.staged is None
 
 
 def test_a_store_of_others_is_enough():
     """What the machine asks of a store is what the protocol says."""
+
     class Shared:
         def __init__(self):
             self.inner = Records()
--- a/tests/test_control_gateway.py
+++ b/tests/test_control_gateway.py
@@ -1,4 +1,5 @@
 """A real gateway that is told its servers by the control part, in discovery's place: docs/control.md."""
+
 import json
 import os
 import subprocess
@@ -29,9 +30,16 @@
 def gateway(folder, relays, rows, **control):
     """The program behind a fleet file that names relays, and no discovery to be had."""
     fleet = folder / "fleet.toml"
-    fleet.write_bytes(tomli_w.dumps({
-        "revision": 1, "addresses": [free_port()], "control": {"relays": relays} | control,
-        "leases": {"voters": [0], "length_ms": 3000, "act_ms": 250, "drift_permille": 10}}).encode())
+    fleet.write_bytes(
+        tomli_w.dumps(
+            {
+                "revision": 1,
+                "addresses": [free_port()],
+                "control": {"relays": relays} | control,
+                "leases": {"voters": [0], "length_ms": 3000, "act_ms": 250, "drift_permille": 10},
+            }
+        ).encode()
+    )
     configured = told("127.0.0.1:9", rows)
     with started(folder, configured, LB_FLEET=str(fleet)) as process:
         yield configured["listen"], process
@@ -50,18 +58,22 @@
     try:
         publisher = trial.started(processes)
         relays = [processes.listens(name) for name in ("relay-2", "relay-1")]
-        publish(publisher, "one", services=[SERVICE, SERVICE | {"name": "mail"}],
-                servers=[server(1, first), server(3, other, service="mail")])
+        publish(
+            publisher,
+            "one",
+            services=[SERVICE, SERVICE | {"name": "mail"}],
+            servers=[server(1, first), server(3, other, service="mail")],
+        )
         with gateway(tmp_path, relays, [entry(0, known)], service="search") as (at, process):
             # What the configuration knew is gone once the state is there; another service's servers are not ours.
             assert until(lambda: went_to() == (200, [0, 1, 0, 0]))
             assert all(went_to() == (200, [0, 1, 0, 0]) for _ in range(5))
             publish(publisher, "two", servers=[server(1, first, "draining"), server(2, second)])
             assert until(lambda: went_to() == (200, [0, 0, 1, 0]))
-            processes.kill("relay-2")       # it turns to the other one
+            processes.kill("relay-2")  # it turns to the other one
             publish(publisher, "three", servers=[server(2, second, "draining"), server(1, first)])
             assert until(lambda: went_to() == (200, [0, 1, 0, 0]))
-            processes.kill("relay-1")       # it serves on, on what it has
+            processes.kill("relay-1")  # it serves on, on what it has
             assert all(went_to() == (200, [0, 1, 0, 0]) for _ in range(5))
             process.terminate()
             assert process.wait(10) == 0
@@ -73,7 +85,17 @@
 
 
 def test_nothing_of_it_is_imported_where_no_fleet_file_names_relays():
-    found = subprocess.run([sys.executable, "-c", "import sys, oakfork.sockets.gateway, oakfork.fleet.part; "
-                            "print([name for name in sys.modules if name.startswith('oakfork.control')])"],
-                           capture_output=True, text=True, timeout=30, cwd=ROOT, env=dict(os.environ)).stdout
+    found = subprocess.run(
+        [
+            sys.executable,
+            "-c",
+            "import sys, oakfork.sockets.gateway, oakfork.fleet.part; "
+            "print([name for name in sys.modules if name.startswith('oakfork.control')])",
+        ],
+        capture_output=True,
+        text=True,
+        timeout=30,
+        cwd=ROOT,
+        env=dict(os.environ),
+    ).stdout
     assert found.strip() == "[]"
--- a/tests/test_control_home.py
+++ b/tests/test_control_home.py
@@ -1,4 +1,5 @@
 """After a detour: back to the first of the relays that one was told, when that is well again."""
+
 from collections import Counter
 
 from controlworld import World, put
@@ -103,7 +104,7 @@
     world.submit(put("a", b"1"))
     world.run(10_000)
     assert follows(world, "g") == "apart"
-    world.is_cut = lambda one, other: {one.name, other.name} == {"apart", "p"}     # from here on, but not from g
+    world.is_cut = lambda one, other: {one.name, other.name} == {"apart", "p"}  # from here on, but not from g
     world.run(40_000)
     assert follows(world, "g") == "well"
     for number in range(20):
--- a/tests/test_control_links.py
+++ b/tests/test_control_links.py
@@ -1,4 +1,5 @@
 """One connection that carries frames: each way in which it ends, and what goes by zlib."""
+
 import random
 import socket
 import zlib
@@ -10,7 +11,7 @@
 from oakfork.control import links
 from oakfork.control.links import Link, framed
 
-WAIT = 25       # seconds; nothing waits so long unless it is broken
+WAIT = 25  # seconds; nothing waits so long unless it is broken
 
 
 def ending_of(act, monkeypatch, **bounds):
@@ -32,6 +33,7 @@
             await trio.testing.wait_all_tasks_blocked()
             nursery.cancel_scope.cancel()
         return ending
+
     return trio.run(main), taken
 
 
@@ -40,6 +42,7 @@
         for part in parts:
             await other.send_all(part)
         await other.send_eof()
+
     return act
 
 
@@ -75,21 +78,29 @@
 LONG = b"word" * 50_000
 
 
-@pytest.mark.parametrize("act, bounds, ending, taken", [
-    (sends(framed(b"one") + framed(b"two")[:2], framed(b"two")[2:]), {}, links.ENDED, [b"one", b"two"]),
-    (sends(framed(b"one") + b"\0\0\0\5abc"), {}, links.IN_FRAME, [b"one"]), (sends(), {}, links.ENDED, []),
-    (sends(b"\0\0\0\0"), {}, links.FOREIGN, []), (sends(b"\xff\xff\xff\xff"), {}, links.FOREIGN, []),
-    (waits, {"WHOLE": 0.02}, links.STALLED, [b"one"]),
-    (lambda *_: trio.sleep_forever(), {"FIRST": 0.02}, links.STALLED, []),
-    (sends(framed(LONG), framed(NOISE[:200_000])), {}, links.ENDED, [LONG, NOISE[:200_000]]),
-    (sends(zipped(zlib.compress(bytes(links.LARGEST_FRAME)))), {}, links.ENDED, [bytes(links.LARGEST_FRAME)]),
-    (sends(zipped(zlib.compress(bytes(links.LARGEST_FRAME + 1)))), {}, links.FOREIGN, []),
-    (sends(zipped(zlib.compress(bytes(10_000_000)))), {}, links.FOREIGN, []),
-    (sends(zipped(zlib.compress(LONG)[:-1])), {}, links.FOREIGN, []),
-    (sends(zipped(zlib.compress(LONG) + b"more")), {}, links.FOREIGN, []),
-    (sends(zipped(b"not by zlib")), {}, links.FOREIGN, []), (sends(zipped(b"")), {}, links.FOREIGN, []),
-    (never_reads, {"TAKEN": 0.02}, links.UNTAKEN, []), (too_much, {}, links.FULL, []), (closes, {}, links.CLOSED, []),
-])
+@pytest.mark.parametrize(
+    "act, bounds, ending, taken",
+    [
+        (sends(framed(b"one") + framed(b"two")[:2], framed(b"two")[2:]), {}, links.ENDED, [b"one", b"two"]),
+        (sends(framed(b"one") + b"\0\0\0\5abc"), {}, links.IN_FRAME, [b"one"]),
+        (sends(), {}, links.ENDED, []),
+        (sends(b"\0\0\0\0"), {}, links.FOREIGN, []),
+        (sends(b"\xff\xff\xff\xff"), {}, links.FOREIGN, []),
+        (waits, {"WHOLE": 0.02}, links.STALLED, [b"one"]),
+        (lambda *_: trio.sleep_forever(), {"FIRST": 0.02}, links.STALLED, []),
+        (sends(framed(LONG), framed(NOISE[:200_000])), {}, links.ENDED, [LONG, NOISE[:200_000]]),
+        (sends(zipped(zlib.compress(bytes(links.LARGEST_FRAME)))), {}, links.ENDED, [bytes(links.LARGEST_FRAME)]),
+        (sends(zipped(zlib.compress(bytes(links.LARGEST_FRAME + 1)))), {}, links.FOREIGN, []),
+        (sends(zipped(zlib.compress(bytes(10_000_000)))), {}, links.FOREIGN, []),
+        (sends(zipped(zlib.compress(LONG)[:-1])), {}, links.FOREIGN, []),
+        (sends(zipped(zlib.compress(LONG) + b"more")), {}, links.FOREIGN, []),
+        (sends(zipped(b"not by zlib")), {}, links.FOREIGN, []),
+        (sends(zipped(b"")), {}, links.FOREIGN, []),
+        (never_reads, {"TAKEN": 0.02}, links.UNTAKEN, []),
+        (too_much, {}, links.FULL, []),
+        (closes, {}, links.CLOSED, []),
+    ],
+)
 def test_every_way_in_which_one_ends_has_its_name(monkeypatch, act, bounds, ending, taken):
     assert ending_of(act, monkeypatch, **bounds) == (ending, taken)
 
--- a/tests/test_control_machines.py
+++ b/tests/test_control_machines.py
@@ -1,4 +1,5 @@
 """Publishers, relays and followers together on a simulated network, before a witness (controlworld.py)."""
+
 import random
 
 import pytest
@@ -11,6 +12,7 @@
 
 # All well
 
+
 def test_change_sets_come_to_all_and_that_is_known():
     world = fleet()
     for number in range(30):
@@ -102,7 +104,7 @@
     world.run(60_000)
     world.agreed()
     assert (world.sent["Range"], world.sent["Digests"]) == (sent.get("Range", 0), sent.get("Digests", 0))
-    assert world.sent["Delta"] - sent["Delta"] <= 2 * 5    # one each, and of a new term or so
+    assert world.sent["Delta"] - sent["Delta"] <= 2 * 5  # one each, and of a new term or so
 
 
 def test_what_the_history_has_lost_is_made_up_for_by_the_ranges_that_differ():
@@ -119,7 +121,7 @@
     world.run(SETTLED)
     world.agreed()
     differing = {range_of(Kind.SERVER, f"s{number}") for number in range(20)}
-    assert 0 < world.sent["Range"] - ranges <= 3 * len(differing)   # for two relays and a gateway
+    assert 0 < world.sent["Range"] - ranges <= 3 * len(differing)  # for two relays and a gateway
 
 
 def test_many_come_cold_and_are_served_at_the_pace_by_turns():
@@ -136,15 +138,16 @@
     done, last = [], world.bytes["Range"]
     for _ in range(60):
         world.run(1_000)
-        assert world.bytes["Range"] - last <= 20_000 + 2_000    # and a frame or two that were under way
+        assert world.bytes["Range"] - last <= 20_000 + 2_000  # and a frame or two that were under way
         last = world.bytes["Range"]
         done.append(sum(node.machine.position == Position(1, 4) for node in gateways(world)))
     world.agreed()
-    assert done[-1] == 12 and len(set(done)) >= 3    # some have it before others
+    assert done[-1] == 12 and len(set(done)) >= 3  # some have it before others
 
 
 # Damage
 
+
 def test_a_damaged_record_is_found_by_its_digest_and_mended_by_its_range_alone():
     for name, changed in (("s5", ["s6"]), ("s7", [])):
         world = fleet(regions=1)
@@ -155,7 +158,7 @@
         world.judge(node)
         assert node.damaged
         sent = dict(world.sent)
-        if changed:     # the Delta does not lead where it says
+        if changed:  # the Delta does not lead where it says
             world.submit(*(put(each, b"y") for each in changed))
         else:
             node.break_links()  # and the next Hello tells the digest
@@ -182,6 +185,7 @@
 
 # Kills
 
+
 @pytest.mark.parametrize("when", ["before", "after"])
 def test_a_publisher_killed_around_its_commit_loses_and_doubles_nothing(when):
     world = fleet()
@@ -197,7 +201,10 @@
     world.agreed()
     assert world.nodes["p"].machine.position == Position(2, 3)
     assert [position for position, _ in world.acknowledged.values()] == [
-        Position(1, 1), Position(1, 2) if when == "after" else Position(2, 2), Position(2, 3)]
+        Position(1, 1),
+        Position(1, 2) if when == "after" else Position(2, 2),
+        Position(2, 3),
+    ]
 
 
 def test_what_the_disk_does_not_take_is_refused_whole():
@@ -232,7 +239,7 @@
     world.run(SETTLED)
     assert world.nodes["p"].counts["older term"] >= 1 and status(world)["higher_term"] == 2
     assert world.acknowledged["set-7"][0] == Position(2, 7)
-    world.nodes["p"].kill()     # it keeps its own state to itself
+    world.nodes["p"].kill()  # it keeps its own state to itself
     world.agreed()
 
 
@@ -278,10 +285,10 @@
     world.submit(put("last", b"x"))
     world.run(2 * SETTLED)
     assert not world.nodes["operator"].machine.sets
-    world.run(2 * LONGEST_HOME, most=4_000_000)     # relays that were left in vain are tried seldomer
-    for node in gateways(world):    # a damage that nothing has touched since is found by the next Hello
+    world.run(2 * LONGEST_HOME, most=4_000_000)  # relays that were left in vain are tried seldomer
+    for node in gateways(world):  # a damage that nothing has touched since is found by the next Hello
         node.break_links()
-    world.run(2 * HOME + SETTLED)   # all are back where they belong, and who is on the way counts as gone for a moment
+    world.run(2 * HOME + SETTLED)  # all are back where they belong, and who is on the way counts as gone for a moment
     world.agreed()
     assert all(node.machine.place == 0 for node in gateways(world))
     assert status(world)["everywhere"] and status(world)["connected"] == len(machines) - 1
--- a/tests/test_control_publisher.py
+++ b/tests/test_control_publisher.py
@@ -1,4 +1,5 @@
 """The publisher's queue, what it hears of others, and what is known of all who follow, spoken to by hand."""
+
 import msgspec
 import pytest
 from controlhand import Hand, P, follows
@@ -33,6 +34,7 @@
 
 # The publisher
 
+
 def publisher(stored=EMPTY, term=1, store=None, **more):
     return Hand(Publisher("p", term, stored, store or Records(), parse, contradictions, **more))
 
@@ -55,14 +57,14 @@
     assert hand.new(1) == [Verdict("one", P(1, 1), ())] and hand.machine.store.value(Kind.SERVER, "a") == b"1"
     assert whole(hand.machine.store.sums) == keep.digest
     assert hand.new(9) == [Delta(P(1, 0), P(1, 1), keep.digest, (put("a", b"1"),), False)]
-    hand.do(Stored(1))      # said twice
+    hand.do(Stored(1))  # said twice
     assert hand.machine.position == P(1, 1) and not hand.said
 
 
 def test_the_same_id_again_is_answered_alike_and_has_no_second_effect():
     hand = publisher()
     submit(hand, 1, "one", put("a", b"1"))
-    submit(hand, 2, "one", put("a", b"2"))      # while the first is on its way to the disk
+    submit(hand, 2, "one", put("a", b"2"))  # while the first is on its way to the disk
     submit(hand, 2, "one", put("a", b"2"))
     hand.do(Stored(1))
     submit(hand, 3, "one", put("a", b"3"))
@@ -118,7 +120,7 @@
     submit(hand, 3, "two", put("a", b"2"))
     follows(hand, 4, position=P(5, 1))
     assert hand.closed == {4: "older term", 1: "older term"} and "older term" in hand.notes
-    hand.do(Stored(1))      # it was on its way: neither acknowledged nor in force, nor after a restart
+    hand.do(Stored(1))  # it was on its way: neither acknowledged nor in force, nor after a restart
     assert hand.taken_back == [P(1, 1)] and 2 not in hand.said and 3 not in hand.said
     hand.do(Unkept(1))
     for link in (2, 3):
@@ -144,7 +146,7 @@
     hand.do(NotUnkept(1, "disk full"))
     assert hand.closed[2] == "not taken back" and 2 not in hand.said and "not taken back" in hand.notes
     assert hand.last(3).faults[0].startswith("older term") and hand.machine.position == P(1, 0)
-    submit(hand, 5, "one", put("a", b"1"))      # asked again: likewise
+    submit(hand, 5, "one", put("a", b"1"))  # asked again: likewise
     assert hand.closed[5] == "not taken back" and 5 not in hand.said
 
 
@@ -194,6 +196,7 @@
 
 # The roster
 
+
 def test_everywhere_is_what_all_have_and_a_relay_counts_when_it_has_reported():
     roster = Roster()
     assert roster.everywhere(P(1, 5)) == P(1, 5)
@@ -219,7 +222,7 @@
     assert named == [Behind("g3", P(1, 0), 140), Behind("g2", P(1, 1), 900), Behind("g1", P(1, 2), 800)]
     assert others == 5
     assert roster.behind(1_100, P(1, 3), 1) == ([Behind("g3", P(1, 0), 140)], 7)
-    roster.in_force(1_200, P(1, 4))     # the relay is behind itself, and so all below it
+    roster.in_force(1_200, P(1, 4))  # the relay is behind itself, and so all below it
     named, others = roster.behind(1_300, P(1, 4))
     assert {one.who for one in named} == {"g1", "g2", "g3", "g4", "r"} and others == 0
 
@@ -229,7 +232,7 @@
     roster.came(0, 1, "r1", True, P())
     roster.came(0, 2, "r2", True, P())
     roster.reported(0, 1, Report(("g",), (), P(), (), 0))
-    roster.reported(0, 2, Report(("g",), (), P(), (), 0))       # there already, before it is known to have left
+    roster.reported(0, 2, Report(("g",), (), P(), (), 0))  # there already, before it is known to have left
     roster.reported(0, 1, Report((), ("g",), P(), (), 0))
     assert "g" in roster.names and not roster.gone
     roster.lost(50, 2)
@@ -300,13 +303,13 @@
     follows(hand, 1)
     hand.new(1)
     hand.wait(BEAT)
-    hand.hear(link, Beat(P(), 5))   # its own has just gone
+    hand.hear(link, Beat(P(), 5))  # its own has just gone
     assert hand.new(1) == [Beat(P(), UNKNOWN)]
     for _ in range(4):
         hand.wait(BEAT)
         hand.hear(link, Beat(P(), 5))
         assert hand.new(1) == [Beat(P(), 5)]
-    hand.hear(link, Beat(P(), 5))   # too soon
+    hand.hear(link, Beat(P(), 5))  # too soon
     assert hand.new(1) == []
     hand.wait(2 * BEAT)
     assert hand.new(1) == [Beat(P(), 5 + BEAT // 2 * 3)]
--- a/tests/test_control_recall.py
+++ b/tests/test_control_recall.py
@@ -1,4 +1,5 @@
 """What led to a relay's state, recalled from whom it follows: who is a little behind gets a Delta there, not ranges."""
+
 import itertools
 
 import pytest
@@ -95,7 +96,7 @@
     relay.do(TimeCame())
     relay.do(Connected(1))
     position, digest = at(up, 3)
-    relay.hear(1, Hello(VERSION, "g", False, position, digest))     # ahead of one that has nothing
+    relay.hear(1, Hello(VERSION, "g", False, position, digest))  # ahead of one that has nothing
     [held] = passes(up, relay, Past)
     assert isinstance(held, Past) and relay.machine.position == up.machine.position
     assert isinstance(relay.last(1), Beat)
@@ -113,9 +114,10 @@
         relay.hear(relay.connects[-1][1], Beat(up.machine.position, 0, ("it",)))
         relay.wait(BEAT)
     assert any(isinstance(message, Digests) for message in relay.said[1])
-    relay, _ = anew(up, Past)   # a cold one, or one with another digest, doesn't wait for it in any case
-    for link, (place, told, gets) in enumerate(((EMPTY, 0, Delta), (EMPTY, 1, Digests), (P(1, 99), 5, Beat),
-                                                (up.machine.position, 5, Digests)), 5):
+    relay, _ = anew(up, Past)  # a cold one, or one with another digest, doesn't wait for it in any case
+    for link, (place, told, gets) in enumerate(
+        ((EMPTY, 0, Delta), (EMPTY, 1, Digests), (P(1, 99), 5, Beat), (up.machine.position, 5, Digests)), 5
+    ):
         follows(relay, link, position=place, digest=told)
         assert isinstance(relay.last(link), gets)
 
@@ -155,8 +157,9 @@
     assert history.past(P(1, 2)) == () and history.past(P(9, 9)) == ()
 
 
-@pytest.mark.parametrize("steps", [
-    (Before(P(1, 99), 5, ()),), (Before(P(9, 0), 5, ()),), (Before(P(1, 14), 5, ((Kind.SERVER, "s1"),)),)])
+@pytest.mark.parametrize(
+    "steps", [(Before(P(1, 99), 5, ()),), (Before(P(9, 0), 5, ()),), (Before(P(1, 14), 5, ((Kind.SERVER, "s1"),)),)]
+)
 def test_what_can_not_have_led_there_is_not_taken(steps):
     up = publisher()
     relay, [_] = anew(up, Past)
@@ -169,13 +172,13 @@
     up = publisher()
     relay, [held] = anew(up, Past)
     there = relay.connects[-1][1]
-    relay.hear(there, Past(P(7, 7), held.steps))    # of another position: not the answer
+    relay.hear(there, Past(P(7, 7), held.steps))  # of another position: not the answer
     assert not relay.machine.feeder.history.knows(at(up, 3)[0])
     relay.hear(there, held)
     assert relay.notes.count("stale") == 1 and there not in relay.closed
     gateway = served()
     follows(gateway, 1)
-    gateway.hear(1, Recall(P(1, 4)))                # not a relay
+    gateway.hear(1, Recall(P(1, 4)))  # not a relay
     assert gateway.closed == {1: "out of turn"} and gateway.last(1) == Goodbye("malformed", P(1, 4))
 
 
@@ -188,7 +191,7 @@
         position, digest = at(up, 3)
         follows(relay, 1, position=position, digest=digest)
         told = relay.last(1)
-        if isinstance(told, Delta):     # follows nothing that was left out, and is found by its digest
+        if isinstance(told, Delta):  # follows nothing that was left out, and is found by its digest
             assert told.rows == () and told.digest != digest
             relay.hear(1, Ack(position, digest ^ 1))
         assert isinstance(relay.last(1), Digests)
@@ -215,8 +218,14 @@
 
 
 @settings(max_examples=60, deadline=None)
-@given(st.lists(st.lists(st.tuples(st.integers(0, 12), st.one_of(st.none(), st.integers(0, 3))), max_size=4),
-                min_size=1, max_size=12), st.integers(0, 12))
+@given(
+    st.lists(
+        st.lists(st.tuples(st.integers(0, 12), st.one_of(st.none(), st.integers(0, 3))), max_size=4),
+        min_size=1,
+        max_size=12,
+    ),
+    st.integers(0, 12),
+)
 def test_whoever_follows_comes_to_the_state_from_any_position(sets, back):
     """Against the state by brute force."""
     up = served(ROWS[:6], egress=10**12)
--- a/tests/test_control_scale.py
+++ b/tests/test_control_scale.py
@@ -1,4 +1,5 @@
 """A small size of the plays of oakfork/lab/scale: real processes over loopback, faults from a seed, a witness apart."""
+
 import random
 from array import array
 
@@ -13,9 +14,9 @@
 from oakfork.lab.scale.fleetwitness import Acked, End, Reached, Seen, digest_of, expected, judge
 from oakfork.lab.scale.hollow import HollowStore, Values
 
-SHAPE = fleetplay.Shape()       # 60 hollow gateways, three relays, 1,500 records
-AIM_MS = 16_000                 # from acknowledged to in force everywhere
-SPAN, HOLDS, EVERY, SETTLED = 3.0, 6.5, 0.25, 40.0     # seconds; one that holds for longer than SILENCE is left
+SHAPE = fleetplay.Shape()  # 60 hollow gateways, three relays, 1,500 records
+AIM_MS = 16_000  # from acknowledged to in force everywhere
+SPAN, HOLDS, EVERY, SETTLED = 3.0, 6.5, 0.25, 40.0  # seconds; one that holds for longer than SILENCE is left
 
 
 @pytest.mark.parametrize("seed", [1, 2])
@@ -26,11 +27,12 @@
 
     async def play(fleet):
         await fleet.faults(plan, made.Changes(SHAPE.sizes, seed, paired=True), EVERY, SETTLED)
+
     trio.run(fleet.run, play)
     assert fleet.judged() == []
-    assert len(fleet.ends) == 60 and len(fleet.acked) >= 3      # those of the publisher's faults, and the last
+    assert len(fleet.ends) == 60 and len(fleet.acked) >= 3  # those of the publisher's faults, and the last
     assert sum(end.brute is not None for end in fleet.ends.values()) == 2
-    assert max(end.position.term for end in fleet.ends.values()) == 4      # the publisher was killed twice
+    assert max(end.position.term for end in fleet.ends.values()) == 4  # the publisher was killed twice
     assert sum(way.torn for way in fleet.ways.values()) > 0
     assert all(process.poll() is not None for process in fleet.processes.values())
     assert "Traceback" not in "".join(path.read_text() for path in tmp_path.glob("*.log"))
@@ -45,6 +47,7 @@
         for _ in range(5):
             position = await fleet.publish(changes.some())
         await fleet.everywhere(position, AIM_MS / 1000)
+
     trio.run(fleet.run, play)
     assert fleet.judged() == []
     spread = fleet.spread(fleet.acked)
@@ -76,7 +79,7 @@
     assert fleetplay.drawn(7, SHAPE, 3, 6) == fleetplay.drawn(7, SHAPE, 3, 6) != fleetplay.drawn(8, SHAPE, 3, 6)
     for seed in range(50):
         cut = next(one for one in fleetplay.drawn(seed, fleetplay.FULL, 3, 6) if one.kind == "cut region")
-        assert 0 <= cut.whom < 5    # of seven regions with twelve relays, these have two
+        assert 0 <= cut.whom < 5  # of seven regions with twelve relays, these have two
 
 
 def test_change_files_are_read_as_the_rows_that_were_made():
@@ -99,15 +102,15 @@
 def test_a_hollow_store_looks_up_what_was_in_force_at_its_own_position():
     key = (Kind.TENANT, "a")
     values = Values({key: b"0"}, Position(1, 4))
-    values.put(key, Position(1, 9), b"9")       # by one that went from 4 to 9 at once
-    values.put(key, Position(1, 6), b"6")       # by one that comes after it
+    values.put(key, Position(1, 9), b"9")  # by one that went from 4 to 9 at once
+    values.put(key, Position(1, 6), b"6")  # by one that comes after it
     values.put(key, Position(1, 7), None)
     at = {number: values.value(key, Position(1, number)) for number in (3, 4, 5, 6, 7, 8, 9, 10)}
     assert at == {3: None, 4: b"0", 5: b"0", 6: b"6", 7: None, 8: None, 9: b"9", 10: b"9"}
     assert values.conflicts == 0
     values.put(key, Position(1, 9), b"another")
     assert values.conflicts == 1
-    values.put(key, Position(1, 4), b"another")     # where the state stood that all began with
+    values.put(key, Position(1, 4), b"another")  # where the state stood that all began with
     assert values.conflicts == 2
     cold = Values({}, Position(1, 4))
     assert cold.begin({key: b"0", (Kind.TENANT, "b"): None}, Position(1, 8)) and not cold.begin({}, Position(1, 9))
@@ -125,8 +128,10 @@
     for number in range(6, 9):
         acked.append(Acked(f"set-{number}", Position(2, number), 100 * number, changes.some(2).rows))
     right = expected(base, 5, acked)
-    reached = {who: [Reached(Position(2, number), chance.randrange(9_999), right[number]) for number in (5, 6, 8)]
-               for who in "abc"}
+    reached = {
+        who: [Reached(Position(2, number), chance.randrange(9_999), right[number]) for number in (5, 6, 8)]
+        for who in "abc"
+    }
     ends = {who: End(Position(2, 8), right[8], right[8] if who == "a" else None) for who in "abc"}
     return Seen(base, 5, acked, reached, ends, list("abc"))
 
@@ -137,19 +142,22 @@
     assert judge(seen()) == []
 
 
-@pytest.mark.parametrize("spoil, said", [
-    (lambda it: it.reached["b"].reverse(), "b went from"),
-    (lambda it: it.reached["b"].__setitem__(1, it.reached["b"][1]._replace(digest=1)), "not the state there"),
-    (lambda it: it.reached["b"].append(Reached(Position(2, 9), 1, 1)), "which nobody was acknowledged"),
-    (lambda it: it.ends.pop("c"), "c told no end"),
-    (lambda it: it.ends.__setitem__("c", it.ends["c"]._replace(position=Position(2, 7))), "c ended at (2, 7)"),
-    (lambda it: it.ends.__setitem__("c", it.ends["c"]._replace(digest=3)), "another state"),
-    (lambda it: it.ends.__setitem__("c", it.ends["c"]._replace(position=Position(3, 8))), "not all ended at one"),
-    (lambda it: it.ends.__setitem__("a", it.ends["a"]._replace(brute=4)), "a has records that are not those"),
-    (lambda it: it.acked.append(it.acked[-1]), "an id was acknowledged twice"),
-    (lambda it: it.acked.append(Acked("x", Position(2, 8), 1, [Row(Kind.TENANT, "x", b"x")])), "one after another"),
-    (lambda it: it.acked.pop(1), "one after another"),
-])
+@pytest.mark.parametrize(
+    "spoil, said",
+    [
+        (lambda it: it.reached["b"].reverse(), "b went from"),
+        (lambda it: it.reached["b"].__setitem__(1, it.reached["b"][1]._replace(digest=1)), "not the state there"),
+        (lambda it: it.reached["b"].append(Reached(Position(2, 9), 1, 1)), "which nobody was acknowledged"),
+        (lambda it: it.ends.pop("c"), "c told no end"),
+        (lambda it: it.ends.__setitem__("c", it.ends["c"]._replace(position=Position(2, 7))), "c ended at (2, 7)"),
+        (lambda it: it.ends.__setitem__("c", it.ends["c"]._replace(digest=3)), "another state"),
+        (lambda it: it.ends.__setitem__("c", it.ends["c"]._replace(position=Position(3, 8))), "not all ended at one"),
+        (lambda it: it.ends.__setitem__("a", it.ends["a"]._replace(brute=4)), "a has records that are not those"),
+        (lambda it: it.acked.append(it.acked[-1]), "an id was acknowledged twice"),
+        (lambda it: it.acked.append(Acked("x", Position(2, 8), 1, [Row(Kind.TENANT, "x", b"x")])), "one after another"),
+        (lambda it: it.acked.pop(1), "one after another"),
+    ],
+)
 def test_the_witness_finds(spoil, said):
     it = seen()
     spoil(it)
--- a/tests/test_control_schema.py
+++ b/tests/test_control_schema.py
@@ -1,4 +1,5 @@
 """Change files and the files of publishers and relays: every fault by its path, refused whole; records."""
+
 import ast
 import copy
 import json
@@ -15,10 +16,24 @@
 from oakfork.control.state import Records, as_changes, summed
 from oakfork.errors import ChangeError, ControlError
 
-SERVICE = {"name": "search", "methods": [{"name": "read", "aim_ms": 100, "deadline_ms": 400},
-                                         {"name": "write", "aim_ms": 250, "deadline_ms": 1000, "effect": "unsafe"}]}
-SERVER = {"id": "s1", "addr": "10.0.0.1:80", "zone": "east", "kind": "large", "cell": 3, "state": "up", "weight": 2.5,
-          "started_ms": 1_796_000_000_000, "service": "search"}
+SERVICE = {
+    "name": "search",
+    "methods": [
+        {"name": "read", "aim_ms": 100, "deadline_ms": 400},
+        {"name": "write", "aim_ms": 250, "deadline_ms": 1000, "effect": "unsafe"},
+    ],
+}
+SERVER = {
+    "id": "s1",
+    "addr": "10.0.0.1:80",
+    "zone": "east",
+    "kind": "large",
+    "cell": 3,
+    "state": "up",
+    "weight": 2.5,
+    "started_ms": 1_796_000_000_000,
+    "service": "search",
+}
 ROUTE = {"name": "r1", "host": "example.org", "prefix": "/a", "method": "GET", "service": "search"}
 TENANT = {"id": "t1", "plan": "basic", "rate": 10, "burst": 20, "first": 5, "spread": 2}
 CHANGE = {"id": "one", "put": {"services": [SERVICE], "servers": [SERVER], "routes": [ROUTE], "tenants": [TENANT]}}
@@ -51,8 +66,13 @@
 def test_a_change_file_becomes_rows_and_rows_become_what_discovery_tells():
     rows = rows_of(CHANGE | {"drop": {"routes": ["r0"], "servers": ["s0"]}})
     assert [(row.kind, row.name, row.value is None) for row in rows] == [
-        (Kind.SERVICE, "search", False), (Kind.SERVER, "s1", False), (Kind.ROUTE, "r1", False),
-        (Kind.TENANT, "t1", False), (Kind.SERVER, "s0", True), (Kind.ROUTE, "r0", True)]
+        (Kind.SERVICE, "search", False),
+        (Kind.SERVER, "s1", False),
+        (Kind.ROUTE, "r1", False),
+        (Kind.TENANT, "t1", False),
+        (Kind.SERVER, "s0", True),
+        (Kind.ROUTE, "r0", True),
+    ]
     told = records.discovery_row("s1", rows[1].value)
     assert told == {key: value for key, value in SERVER.items() if key != "service"}
     assert records.discovery_row("s0", None) == {"id": "s0", "state": "removed"}
@@ -89,28 +109,37 @@
     return change
 
 
-@pytest.mark.parametrize("path, value, place", [
-    (("id",), ..., "the file"), (("id",), "with space", "id"), (("id",), "x" * 129, "id"), (("id",), "one\n", "id"),
-    (("put", "servers", 0, "addr"), "nowhere", "put.servers[0].addr"),
-    (("put", "servers", 0, "addr"), "10.0.0.1:80\n", "put.servers[0].addr"),
-    (("put", "servers", 0, "addr"), "10.0.0.1:65536", "put.servers[0].addr"),
-    (("put", "servers", 0, "state"), "removed", "put.servers[0].state"),
-    (("put", "servers", 0, "weight"), float("nan"), "put.servers[0].weight"),
-    (("put", "servers", 0, "weight"), float("inf"), "put.servers[0].weight"),
-    (("put", "servers", 0, "weight"), -1, "put.servers[0].weight"),
-    (("put", "servers", 0, "started_ms"), 1 << 64, "put.servers[0].started_ms"),
-    (("put", "servers", 0, "cell"), True, "put.servers[0].cell"),
-    (("put", "servers", 0, "zone"), "\ud800", "put.servers[0].zone"),
-    (("put", "servers", 0, "service"), ..., "put.servers[0]"),
-    (("put", "servers", 0, "more"), 1, "put.servers[0]"), (("put", "servers"), {}, "put.servers"),
-    (("put", "services", 0, "methods"), [], "put.services[0].methods"),
-    (("put", "services", 0, "methods", 0, "aim_ms"), 500, "put.services[0].methods[0].aim_ms"),
-    (("put", "services", 0, "methods", 1, "name"), "read", "put.services[0].methods"),
-    (("put", "routes", 0, "prefix"), 7, "put.routes[0].prefix"),
-    (("put", "tenants", 0, "spread"), 0, "put.tenants[0].spread"),
-    (("drop",), {"servers": [7]}, "drop.servers[0]"), (("drop",), {"sites": []}, "drop"),
-    (("put",), {}, "the file"), (("put", "\ud800" * 500), 1, "put"),
-])
+@pytest.mark.parametrize(
+    "path, value, place",
+    [
+        (("id",), ..., "the file"),
+        (("id",), "with space", "id"),
+        (("id",), "x" * 129, "id"),
+        (("id",), "one\n", "id"),
+        (("put", "servers", 0, "addr"), "nowhere", "put.servers[0].addr"),
+        (("put", "servers", 0, "addr"), "10.0.0.1:80\n", "put.servers[0].addr"),
+        (("put", "servers", 0, "addr"), "10.0.0.1:65536", "put.servers[0].addr"),
+        (("put", "servers", 0, "state"), "removed", "put.servers[0].state"),
+        (("put", "servers", 0, "weight"), float("nan"), "put.servers[0].weight"),
+        (("put", "servers", 0, "weight"), float("inf"), "put.servers[0].weight"),
+        (("put", "servers", 0, "weight"), -1, "put.servers[0].weight"),
+        (("put", "servers", 0, "started_ms"), 1 << 64, "put.servers[0].started_ms"),
+        (("put", "servers", 0, "cell"), True, "put.servers[0].cell"),
+        (("put", "servers", 0, "zone"), "\ud800", "put.servers[0].zone"),
+        (("put", "servers", 0, "service"), ..., "put.servers[0]"),
+        (("put", "servers", 0, "more"), 1, "put.servers[0]"),
+        (("put", "servers"), {}, "put.servers"),
+        (("put", "services", 0, "methods"), [], "put.services[0].methods"),
+        (("put", "services", 0, "methods", 0, "aim_ms"), 500, "put.services[0].methods[0].aim_ms"),
+        (("put", "services", 0, "methods", 1, "name"), "read", "put.services[0].methods"),
+        (("put", "routes", 0, "prefix"), 7, "put.routes[0].prefix"),
+        (("put", "tenants", 0, "spread"), 0, "put.tenants[0].spread"),
+        (("drop",), {"servers": [7]}, "drop.servers[0]"),
+        (("drop",), {"sites": []}, "drop"),
+        (("put",), {}, "the file"),
+        (("put", "\ud800" * 500), 1, "put"),
+    ],
+)
 def test_each_fault_is_named_by_its_path_and_nothing_is_taken(path, value, place):
     rows, faults = parse(spoilt(path, value))
     assert not rows and place in {fault.split(": ")[0] for fault in faults}
@@ -126,12 +155,27 @@
     assert len(faults) == schema.MOST_FAULTS and faults[-1] == "and 38 more"
 
 
-@pytest.mark.parametrize("data", [
-    b"", b"\xff\xfe", b"{", b"[" * 100_000, b'{"id": "a", "id": "b"}', b'{"id": ' + b"9" * 5000 + b"}", b"7", b"null",
-    b'{"id": "a", "put": {"servers": [' + b"0," * 100_000 + b"0]}}", b" " * (schema.LARGEST_CHANGE + 1),
-    b'{"id": "a", "drop": {"servers": [' + b'"x",' * 4_096 + b'"x"]}}', b"[" * 17 + b"]" * 17,
-    zlib.compress(b" " * (schema.LARGEST_CHANGE + 1)), zlib.compress(json.dumps(CHANGE).encode())[:-1], b"x",
-], ids=range(15))
+@pytest.mark.parametrize(
+    "data",
+    [
+        b"",
+        b"\xff\xfe",
+        b"{",
+        b"[" * 100_000,
+        b'{"id": "a", "id": "b"}',
+        b'{"id": ' + b"9" * 5000 + b"}",
+        b"7",
+        b"null",
+        b'{"id": "a", "put": {"servers": [' + b"0," * 100_000 + b"0]}}",
+        b" " * (schema.LARGEST_CHANGE + 1),
+        b'{"id": "a", "drop": {"servers": [' + b'"x",' * 4_096 + b'"x"]}}',
+        b"[" * 17 + b"]" * 17,
+        zlib.compress(b" " * (schema.LARGEST_CHANGE + 1)),
+        zlib.compress(json.dumps(CHANGE).encode())[:-1],
+        b"x",
+    ],
+    ids=range(15),
+)
 def test_what_is_no_change_file_is_refused(data):
     rows, faults = schema.parse(data)
     assert not rows and faults and all(len(fault) <= schema.LONGEST_FAULT for fault in faults)
@@ -140,11 +184,20 @@
 @settings(max_examples=150, deadline=None)
 @given(st.data())
 def test_any_json_in_any_place_is_refused_or_becomes_records_that_can_be_read(data):
-    junk = st.recursive(st.none() | st.booleans() | st.integers() | st.floats() | st.text(
-        st.characters(exclude_categories=()), max_size=6), lambda inner: st.lists(inner, max_size=3)
-        | st.dictionaries(st.text(max_size=6), inner, max_size=3), max_leaves=6)
-    paths = [("put", key, 0, field) for key, item in (("servers", SERVER), ("services", SERVICE), ("routes", ROUTE),
-                                                      ("tenants", TENANT)) for field in item]
+    junk = st.recursive(
+        st.none()
+        | st.booleans()
+        | st.integers()
+        | st.floats()
+        | st.text(st.characters(exclude_categories=()), max_size=6),
+        lambda inner: st.lists(inner, max_size=3) | st.dictionaries(st.text(max_size=6), inner, max_size=3),
+        max_leaves=6,
+    )
+    paths = [
+        ("put", key, 0, field)
+        for key, item in (("servers", SERVER), ("services", SERVICE), ("routes", ROUTE), ("tenants", TENANT))
+        for field in item
+    ]
     change = spoilt(data.draw(st.sampled_from([("id",), ("put",), ("drop",), *paths])), data.draw(junk))
     rows, faults = parse(change)
     assert bool(rows) != bool(faults)
@@ -153,22 +206,29 @@
     pack(Verdict("one", None, tuple(faults)))
 
 
-@pytest.mark.parametrize("change, said", [
-    ({"put": {"servers": [SERVER, SERVER]}}, "put.servers[1]: 's1' is there twice"),
-    ({"put": {"servers": [SERVER]}, "drop": {"servers": ["s1"]}}, "drop.servers[0]: 's1' is put and dropped"),
-    ({"drop": {"servers": ["s1", "s1"]}}, "drop.servers[1]: 's1' is there twice"),
-    ({"drop": {"servers": ["s2"]}}, "drop.servers[0]: there is no 's2'"),
-    ({"drop": {"services": ["search"]}}, "drop.services[0]: 2 servers and routes would still name 'search'"),
-    ({"drop": {"services": ["search"], "servers": ["s1"]}}, "drop.services[0]: 1 servers and routes"),
-    ({"put": {"servers": [SERVER | {"id": "s2"}]}}, "put.servers[0].addr: 's1' is there"),
-    ({"put": {"servers": [SERVER | {"id": "s2", "addr": "a:1"}, SERVER | {"id": "s3", "addr": "a:1"}]}},
-     "put.servers[1].addr: 's2' is there"),
-    ({"put": {"servers": [SERVER | {"service": "other"}]}}, "put.servers[0].service: there would be no service"),
-    ({"put": {"routes": [ROUTE | {"name": "r2", "service": "other"}]}}, "put.routes[0].service: there would be no"),
-    ({"put": {"routes": [ROUTE | {"name": "r2"}]}}, "put.routes[0]: 'r1' has that host, prefix and method"),
-    ({"put": {"routes": [ROUTE | {"name": "r2", "prefix": "/b"}]}, "drop": {"services": ["search"]}},
-     "put.routes[0].service: there would be no service"),
-])
+@pytest.mark.parametrize(
+    "change, said",
+    [
+        ({"put": {"servers": [SERVER, SERVER]}}, "put.servers[1]: 's1' is there twice"),
+        ({"put": {"servers": [SERVER]}, "drop": {"servers": ["s1"]}}, "drop.servers[0]: 's1' is put and dropped"),
+        ({"drop": {"servers": ["s1", "s1"]}}, "drop.servers[1]: 's1' is there twice"),
+        ({"drop": {"servers": ["s2"]}}, "drop.servers[0]: there is no 's2'"),
+        ({"drop": {"services": ["search"]}}, "drop.services[0]: 2 servers and routes would still name 'search'"),
+        ({"drop": {"services": ["search"], "servers": ["s1"]}}, "drop.services[0]: 1 servers and routes"),
+        ({"put": {"servers": [SERVER | {"id": "s2"}]}}, "put.servers[0].addr: 's1' is there"),
+        (
+            {"put": {"servers": [SERVER | {"id": "s2", "addr": "a:1"}, SERVER | {"id": "s3", "addr": "a:1"}]}},
+            "put.servers[1].addr: 's2' is there",
+        ),
+        ({"put": {"servers": [SERVER | {"service": "other"}]}}, "put.servers[0].service: there would be no service"),
+        ({"put": {"routes": [ROUTE | {"name": "r2", "service": "other"}]}}, "put.routes[0].service: there would be no"),
+        ({"put": {"routes": [ROUTE | {"name": "r2"}]}}, "put.routes[0]: 'r1' has that host, prefix and method"),
+        (
+            {"put": {"routes": [ROUTE | {"name": "r2", "prefix": "/b"}]}, "drop": {"services": ["search"]}},
+            "put.routes[0].service: there would be no service",
+        ),
+    ],
+)
 def test_contradictions_are_named_by_their_path(change, said):
     store, index = a_store()
     faults = index.contradictions(rows_of({"id": "two"} | change))
@@ -178,22 +238,25 @@
 
 def test_what_only_looks_like_a_contradiction_is_none():
     store, index = a_store()
-    for change in ({"drop": {"services": ["search"], "servers": ["s1"], "routes": ["r1"]}},
-                   {"put": {"servers": [SERVER | {"id": "s2"}]}, "drop": {"servers": ["s1"]}},
-                   {"put": {"servers": [SERVER, SERVER | {"id": "s2", "addr": "10.0.0.2:80"}]}},
-                   {"put": {"services": [SERVICE | {"name": "new"}], "routes": [ROUTE | {"service": "new"}]}},
-                   {"put": {"servers": [SERVER | {"addr": "b:1"}, SERVER | {"id": "s2"}]}}):
+    for change in (
+        {"drop": {"services": ["search"], "servers": ["s1"], "routes": ["r1"]}},
+        {"put": {"servers": [SERVER | {"id": "s2"}]}, "drop": {"servers": ["s1"]}},
+        {"put": {"servers": [SERVER, SERVER | {"id": "s2", "addr": "10.0.0.2:80"}]}},
+        {"put": {"services": [SERVICE | {"name": "new"}], "routes": [ROUTE | {"service": "new"}]}},
+        {"put": {"servers": [SERVER | {"addr": "b:1"}, SERVER | {"id": "s2"}]}},
+    ):
         rows = rows_of({"id": "two"} | change)
         assert index.contradictions(rows) == [] == schema.contradictions(store, rows), change
 
 
 def test_the_index_kept_up_to_date_is_the_one_built_anew():
     store, index = a_store()
-    for change in (CHANGE, {"id": "2", "put": {"services": [SERVICE | {"name": "b"}],
-                                               "servers": [SERVER | {"service": "b"}]}},
-                   {"id": "3", "put": {"servers": [SERVER | {"id": "s2", "service": "b"}]},
-                    "drop": {"servers": ["s1"]}},
-                   {"id": "4", "drop": {"routes": ["r1"], "services": ["search"]}}):
+    for change in (
+        CHANGE,
+        {"id": "2", "put": {"services": [SERVICE | {"name": "b"}], "servers": [SERVER | {"service": "b"}]}},
+        {"id": "3", "put": {"servers": [SERVER | {"id": "s2", "service": "b"}]}, "drop": {"servers": ["s1"]}},
+        {"id": "4", "drop": {"routes": ["r1"], "services": ["search"]}},
+    ):
         rows = rows_of(change)
         assert index.contradictions(rows) == []
         in_force(store, rows, index)
@@ -212,11 +275,16 @@
     example = ROOT / f"deploy/control-{name}.example.toml"
     assert read(example).who == f"west/{name}-1"
     text = example.read_text()
-    for old, new, place in (('region = "west"', "", "the file"), ('name = "', 'name = "Not so ', "name"),
-                            ("listen = ", "listen = 3 #", "listen"), (":7900", ":99999", None),
-                            ("connections = 4096", "connections = 0", "bounds.connections"),
-                            ("connections = 4096", "connections = nan", "bounds.connections"),
-                            ("[bounds]", "[bounds]\nmore = 1", "bounds"), ("[bounds]", "[bounds", "the file")):
+    for old, new, place in (
+        ('region = "west"', "", "the file"),
+        ('name = "', 'name = "Not so ', "name"),
+        ("listen = ", "listen = 3 #", "listen"),
+        (":7900", ":99999", None),
+        ("connections = 4096", "connections = 0", "bounds.connections"),
+        ("connections = 4096", "connections = nan", "bounds.connections"),
+        ("[bounds]", "[bounds]\nmore = 1", "bounds"),
+        ("[bounds]", "[bounds", "the file"),
+    ):
         (tmp_path / "f.toml").write_text(text.replace(old, new, 1))
         with pytest.raises(ControlError) as caught:
             read(tmp_path / "f.toml")
@@ -249,5 +317,5 @@
 
 def test_the_page_names_every_reason_that_is_counted():
     text, found = (ROOT / "docs/control.md").read_text(), reasons()
-    assert {"digest differs", "no hello", "not stored", "not accepted"} <= found     # it does find them
+    assert {"digest differs", "no hello", "not stored", "not accepted"} <= found  # it does find them
     assert not [reason for reason in found if f"`{reason}`" not in text]
--- a/tests/test_control_services.py
+++ b/tests/test_control_services.py
@@ -1,4 +1,5 @@
 """Publisher, relays and followers over real sockets: published, in force, known to be; whatever is killed or sent."""
+
 import json
 import socket
 import subprocess
@@ -37,8 +38,9 @@
             assert agent.record(Kind.TENANT, "00000000b4d65521").rate == 20
         await until(lambda: sum(map(len, it.given)) == 2564)
         assert max(map(len, it.given)) <= agents.SLICE
-        assert it.given[0][0] == {key: value for key, value in trial.EXAMPLE["put"]["servers"][0].items()
-                                  if key != "service"}
+        assert it.given[0][0] == {
+            key: value for key, value in trial.EXAMPLE["put"]["servers"][0].items() if key != "service"
+        }
         it.given.clear()
         gone = {"id": "gone", "drop": {"servers": [f"s{number}" for number in range(2560)]}}
         await it.everywhere(await it.publish(gone))
@@ -50,6 +52,7 @@
         text = shown.text(await client.status(it.publisher_at))
         assert "in force at all 5 that are connected" in text and "relay   here/r1" in text
         assert "follows " + it.publisher_at in shown.text(await client.status(it.relays_at[0]))
+
     play(tmp_path, work)
 
 
@@ -61,33 +64,45 @@
             others.append(rows)
             if len(others) == 1:
                 raise KeyError("a fault in the gateway")
+
         for number, (taker, service) in enumerate(((given.extend, "search"), (take, None)), 5):
             it.nursery.start_soon(agents.Agent(f"g{number}", it.relays_at, number, LOG, taker, service).run)
         await it.publish(trial.EXAMPLE)
         await until(lambda: len(given) == 4 and others)
         service, server = trial.EXAMPLE["put"]["services"][0], trial.EXAMPLE["put"]["servers"][0]
-        await it.publish({"id": "moved", "put": {"services": [service | {"name": "b"}], "servers": [
-            server | {"service": "b"}, server | {"id": "b-1", "addr": "b:1", "service": "b"}]}})
+        await it.publish(
+            {
+                "id": "moved",
+                "put": {
+                    "services": [service | {"name": "b"}],
+                    "servers": [server | {"service": "b"}, server | {"id": "b-1", "addr": "b:1", "service": "b"}],
+                },
+            }
+        )
         await until(lambda: len(given) == 5 and len(others) == 2)
         assert given[4] == {"id": "search-1", "state": "removed"}
         assert {row["id"]: row["state"] for row in others[1]} == {"search-1": "up", "b-1": "up"}
+
     play(tmp_path, work, followers=0)
 
 
 def test_one_that_is_refused_changes_nothing_and_says_why(tmp_path):
     async def work(it):
         position = await it.publish(trial.EXAMPLE)
-        for change, place in ((servers([1], "x", service="none"), "put.servers[0].service"),
-                              (servers([1], "x", state="lost"), "put.servers[0].state"),
-                              ({"id": "x", "drop": {"services": ["search"]}}, "drop.services[0]")):
+        for change, place in (
+            (servers([1], "x", service="none"), "put.servers[0].service"),
+            (servers([1], "x", state="lost"), "put.servers[0].state"),
+            ({"id": "x", "drop": {"services": ["search"]}}, "drop.services[0]"),
+        ):
             verdict = await client.publish(it.publisher_at, "x", json.dumps(change).encode())
             assert verdict.position is None and verdict.faults[0].startswith(place + ": ")
         assert it.publisher.machine.position == position
-        assert await it.publish(trial.EXAMPLE) == position      # the same again: no second effect
+        assert await it.publish(trial.EXAMPLE) == position  # the same again: no second effect
         assert it.database.position == position
         edited = json.loads(json.dumps(trial.EXAMPLE))
         edited["put"]["tenants"][0]["rate"] = 30
-        assert await it.publish(edited) > position              # under the same id, but not the same
+        assert await it.publish(edited) > position  # under the same id, but not the same
+
     play(tmp_path, work, followers=0)
 
 
@@ -105,6 +120,7 @@
                 if lost:
                     await stream.send_all(answer)
                 lost.append(it.database.position)
+
         sock = trio.socket.socket()
         await sock.bind(HERE)
         sock.listen()
@@ -112,6 +128,7 @@
         place = "{}:{}".format(*sock.getsockname())
         verdict = await client.publish(place, "one", json.dumps(trial.EXAMPLE).encode())
         assert lost == [verdict.position, verdict.position] == [Position(1, 1)] * 2
+
     play(tmp_path, work, followers=0)
 
 
@@ -123,9 +140,10 @@
         told = await it.everywhere(position)
         assert [row["who"] for row in told["relays"]] == ["here/r2"] and told["relays"][0]["reached"] == 3
         assert [row["who"] for row in told["gone"]] == ["here/r1"]
-        it.scopes["r2"].cancel()        # both: what is in force stays so
+        it.scopes["r2"].cancel()  # both: what is in force stays so
         await until(lambda: all(agent.counts.get("not connected: REFUSED") for agent in it.agents))
         assert all(agent.position == position and agent.record(Kind.SERVER, "s4") for agent in it.agents)
+
     play(tmp_path, work)
 
 
@@ -145,6 +163,7 @@
             assert "behind  slow: 0.0, for " in shown.text(told)
         told = await it.everywhere(position)
         assert [row["who"] for row in told["gone"]] == ["slow"]
+
     play(tmp_path, work)
 
 
@@ -155,17 +174,20 @@
         def failing(*_):
             failed.append(1)
             raise DatabaseError("no room on the disk")
+
         it.database.commit = failing
         verdict = await client.publish(it.publisher_at, "one", json.dumps(trial.EXAMPLE).encode())
         assert verdict.position is None and verdict.faults == ("not stored: no room on the disk",) and len(failed) == 2
         it.database.commit = commit
         assert await it.publish(trial.EXAMPLE) == Position(1, 1)
+
     play(tmp_path, work, followers=0)
 
 
 @pytest.mark.parametrize("fails", (False, True))
 def test_what_is_on_its_way_to_the_disk_when_a_later_publisher_is_heard_of_is_taken_back(tmp_path, fails):
     """Answered as refused, it is not in force after a restart; where the disk fails, it is not answered."""
+
     async def work(it):
         commit = it.database.commit
 
@@ -175,6 +197,7 @@
 
         def failing(*_):
             raise DatabaseError("no room on the disk")
+
         it.database.commit, verdicts = slow, []
         if fails:
             it.database.uncommit = failing
@@ -182,6 +205,7 @@
         async def submit():
             with pytest.raises(PublisherSilent) if fails else nullcontext():
                 verdicts.append(await client.publish(it.publisher_at, "one", json.dumps(trial.EXAMPLE).encode(), 2.0))
+
         async with trio.open_nursery() as nursery:
             nursery.start_soon(submit)
             await until(lambda: it.publisher.machine.kept)
@@ -195,6 +219,7 @@
         again = Database(tmp_path / "db")
         assert len(again.loaded.entries) == int(fails)
         again.close()
+
     play(tmp_path, work, followers=0)
 
 
@@ -216,6 +241,7 @@
             it.scopes[name].cancel()
         database.close()
         older_database.close()
+
     play(tmp_path, work, followers=0)
 
 
@@ -229,6 +255,7 @@
 
         def said(*words):
             return CliRunner().invoke(control, list(words))
+
         done = said("publish", str(tmp_path / "one.json"), "--to", place)
         assert done.exit_code == 0 and "position 1.1" in done.output
         trial.everywhere(place, lambda told: shown.whole(told, (1, 1), 3))
@@ -245,7 +272,7 @@
         toml.write_text(toml.read_text().replace("127.0.0.1:0", place))
         processes.start("publisher", "publisher", str(toml))
         processes.listens("publisher")
-        done = said("publish", str(tmp_path / "two.json"), "--to", place)   # as if its answer had been lost
+        done = said("publish", str(tmp_path / "two.json"), "--to", place)  # as if its answer had been lost
         assert done.exit_code == 0 and "position 1.2" in done.output
         trial.everywhere(place, lambda told: shown.whole(told, (2, 2), 3))
         assert "in force at all 4 that are connected" in said("status", place).output
@@ -256,12 +283,18 @@
     assert "Traceback" not in "".join(path.read_text() for path in tmp_path.glob("*.log"))
 
 
-@pytest.mark.parametrize("words, status, said", [
-    (["publisher", "/nowhere"], 2, "No such file"), (["relay", str(ROOT / "README.md")], 2, "the file: "),
-    (["publish", "/nowhere", "--to", "127.0.0.1:1"], 2, "No such file"), (["status", "nowhere"], 2, "not an address"),
-    (["status", "127.0.0.1:1", "--seconds", "0.1"], 1, "REFUSED"), (["follow", "a:1"], 2, "--name"),
-    (["publish", str(ROOT / "README.md"), "--to", "127.0.0.1:1"], 2, "the file: "),
-])
+@pytest.mark.parametrize(
+    "words, status, said",
+    [
+        (["publisher", "/nowhere"], 2, "No such file"),
+        (["relay", str(ROOT / "README.md")], 2, "the file: "),
+        (["publish", "/nowhere", "--to", "127.0.0.1:1"], 2, "No such file"),
+        (["status", "nowhere"], 2, "not an address"),
+        (["status", "127.0.0.1:1", "--seconds", "0.1"], 1, "REFUSED"),
+        (["follow", "a:1"], 2, "--name"),
+        (["publish", str(ROOT / "README.md"), "--to", "127.0.0.1:1"], 2, "the file: "),
+    ],
+)
 def test_errors_of_the_command_line(words, status, said):
     done = CliRunner().invoke(control, words)
     assert done.exit_code == status and said in done.output and "Traceback" not in done.output
@@ -272,8 +305,14 @@
     with socket.create_server(HERE) as taken:
         file = tmp_path / "p.toml"
         for port, name in ((0, "db"), (taken.getsockname()[1], "other")):
-            file.write_text(f'name = "p"\nregion = "here"\nlisten = "127.0.0.1:{port}"\n'
-                            f'database = "{tmp_path / name}"\n')
-            done = subprocess.run([sys.executable, "-m", "oakfork.control.command", "publisher", str(file)],
-                                  capture_output=True, text=True, timeout=20, cwd=ROOT)
+            file.write_text(
+                f'name = "p"\nregion = "here"\nlisten = "127.0.0.1:{port}"\n' f'database = "{tmp_path / name}"\n'
+            )
+            done = subprocess.run(
+                [sys.executable, "-m", "oakfork.control.command", "publisher", str(file)],
+                capture_output=True,
+                text=True,
+                timeout=20,
+                cwd=ROOT,
+            )
             assert done.returncode == 1 and done.stderr.startswith("oakfork: ") and "Traceback" not in done.stderr
--- a/tests/test_control_state.py
+++ b/tests/test_control_state.py
@@ -1,4 +1,5 @@
 """The state that all gateways share, and what its changes are kept in on their way: against brute force."""
+
 from array import array
 
 import pytest
@@ -49,6 +50,7 @@
 
 # The store
 
+
 @STRICT
 @given(st.lists(st.tuples(CHANGES, st.integers(0, 9)), max_size=6))
 def test_commits_and_folds_against_a_dictionary(commits):
@@ -71,7 +73,8 @@
     told = list(store.names(some))
     assert len(told) == 500
     assert {name for _, _, name in filter(None, told)} == {
-        f"s{number}" for number in range(500) if range_of(Kind.SERVER, f"s{number}") in some}
+        f"s{number}" for number in range(500) if range_of(Kind.SERVER, f"s{number}") in some
+    }
 
 
 def test_a_fold_in_parts_says_whether_some_are_left():
@@ -82,6 +85,7 @@
 
 # Staged changes
 
+
 @STRICT
 @given(CHANGES, st.lists(CHANGES, max_size=3))
 def test_staged_changes_become_what_they_say_and_no_more(first, frames_of_rows):
@@ -105,7 +109,7 @@
     later = afterwards(other, since)
     staged, wanted = Staged(store), [n for n in range(RANGES) if store.sums[n] != sums_of(other)[n]]
     for place, number in enumerate(wanted):
-        now = later if place % 2 else other     # a range may be told before or after the change
+        now = later if place % 2 else other  # a range may be told before or after the change
         rows = [Row(*key, value) for key, value in now.items() if range_of(*key) == number]
         assert result(staged.take_range(number, rows[:1], True))[0]
         assert result(staged.take_range(number, rows[1:], False))[0]
@@ -144,6 +148,7 @@
 
 # The history
 
+
 @STRICT
 @given(st.lists(CHANGES, max_size=12), st.integers(1, 30), st.integers(2, 8))
 def test_merged_history_leads_from_every_position_it_knows_to_the_newest(sets, most_rows, most_sets):
@@ -169,15 +174,19 @@
     history.add(Position(1, 3), Position(2, 4), {(Kind.SERVER, "b"): b"1"}, 4)
     assert history.oldest == history.newest == Position(2, 4)
     assert history.merged(Position(1, 1)) is None and history.merged(Position(2, 4)) == {} and history.rows == 0
-    history.add(Position(2, 4), Position(2, 4), {(Kind.SERVER, "b"): b"2"}, 5)     # mended where it was
+    history.add(Position(2, 4), Position(2, 4), {(Kind.SERVER, "b"): b"2"}, 5)  # mended where it was
     assert history.digest(Position(2, 4)) == 5 and history.merged(Position(2, 4)) == {}
 
 
 # Frames
 
+
 def test_a_delta_is_cut_by_rows_and_by_bytes_and_comes_whole():
-    for changes in ({(Kind.SERVER, f"s{number}"): b"v" for number in range(2 * frames.FRAME_ROWS + 1)},
-                    {(Kind.ROUTE, f"é{number}"): bytes(4000) for number in range(50)}, {}):
+    for changes in (
+        {(Kind.SERVER, f"s{number}"): b"v" for number in range(2 * frames.FRAME_ROWS + 1)},
+        {(Kind.ROUTE, f"é{number}"): bytes(4000) for number in range(50)},
+        {},
+    ):
         delta, rows, number = Changed(Position(1, 1), Position(1, 2), 7, changes), [], 0
         while True:
             frame = delta.frame(number)
@@ -234,6 +243,7 @@
 
 # Messages
 
+
 def test_frames_of_the_other_direction_too_long_or_broken_are_none():
     up, down = pack(messages.Ack(Position(1, 2), 3)), pack(messages.Beat(Position(1, 2), 3))
     assert unpack_up(up) == messages.Ack(Position(1, 2), 3) and unpack_down(down) == messages.Beat(Position(1, 2), 3)
@@ -255,6 +265,7 @@
 
 # The pace
 
+
 def test_ranges_go_by_turns_to_a_few_and_no_faster_than_the_pace():
     pace = Pace(1_000, 2)
     for link in (1, 2, 3, 4):
--- a/tests/test_control_store.py
+++ b/tests/test_control_store.py
@@ -1,4 +1,5 @@
 """The publisher's database: whole or nothing through any kill, bounded, and what is not its own is refused."""
+
 import random
 import shutil
 import signal
@@ -103,7 +104,9 @@
     assert state(loaded.records) == {(Kind.SERVER, "a"): b"2", (Kind.ROUTE, "r"): b"\x00\xff"} == state(first.records)
     assert loaded.ids == {"one": Position(1, 1), "two": Position(1, 2)}
     assert [(entry.before, entry.position, entry.id, len(entry.rows)) for entry in loaded.entries] == [
-        (Position(0, 0), Position(1, 1), "one", 2), (Position(1, 1), Position(1, 2), "two", 2)]
+        (Position(0, 0), Position(1, 1), "one", 2),
+        (Position(1, 1), Position(1, 2), "two", 2),
+    ]
     assert loaded.entries[-1].digest == whole(loaded.records.sums)
     assert second.database.begin_term(above=9) == 10 == second.database.term
     second.database.close()
@@ -142,7 +145,7 @@
     for position in (Position(1, 1), Position(0, 7)):
         with pytest.raises(DatabaseError):
             publisher.database.commit(position, "two", put("b"), 0)
-    publisher.commit(put("b"), "two")       # it goes on after a refusal
+    publisher.commit(put("b"), "two")  # it goes on after a refusal
     publisher.database.close()
     assert len(Database(tmp_path / "db").loaded.entries) == 2
 
@@ -156,13 +159,13 @@
     database = publisher.database
     with pytest.raises(DatabaseError, match="not the last"):
         database.uncommit(Position(1, 3))
-    for last, left in ((4, "abc"), (3, "ab")):      # the second one down to the snapshot
+    for last, left in ((4, "abc"), (3, "ab")):  # the second one down to the snapshot
         database.uncommit(Position(1, last))
-        database.uncommit(Position(1, last))        # again: nothing
+        database.uncommit(Position(1, last))  # again: nothing
         assert database.position == Position(1, last - 1) and database.position_of(left[-1]) == database.position
         assert database.position_of("abcd"[last - 1]) is None
     with pytest.raises(DatabaseError, match="not the last"):
-        database.uncommit(Position(1, 2))           # in the snapshot
+        database.uncommit(Position(1, 2))  # in the snapshot
     database.close()
     loaded = Database(tmp_path / "db").loaded
     assert loaded.position == Position(1, 2) and not loaded.entries and list(loaded.ids) == ["a", "b"]
@@ -170,8 +173,9 @@
 
 
 def test_closing_while_another_thread_is_at_work_waits_for_its_transaction(tmp_path):
-    done = subprocess.run([sys.executable, "-c", CLOSED, str(tmp_path / "db")], cwd=ROOT, capture_output=True,
-                          text=True, timeout=60)
+    done = subprocess.run(
+        [sys.executable, "-c", CLOSED, str(tmp_path / "db")], cwd=ROOT, capture_output=True, text=True, timeout=60
+    )
     assert done.returncode == 0 and done.stdout.split() == ["40", "True"], (done.returncode, done.stderr[-400:])
 
 
@@ -225,13 +229,22 @@
         Database(tmp_path / "db")
 
 
-@pytest.mark.parametrize("statement", [
-    "DELETE FROM kept WHERE key = 'term'", "UPDATE kept SET value = 0 WHERE key = 'term'", "DROP TABLE log",
-    "UPDATE kept SET value = 'many' WHERE key = 'snapshot_number'", "DELETE FROM log WHERE number = 8",
-    "UPDATE snapshot SET value = 7 WHERE name = '0-1'", "UPDATE snapshot SET kind = 77 WHERE name = '0-1'",
-    "DELETE FROM snapshot WHERE name = '0-1'", "UPDATE log SET rows = x'c1' WHERE number = 7",
-    "UPDATE log SET rows = x'9193026178c4020001' WHERE number = 7", "UPDATE log SET digest = 5 WHERE number = 6",
-])
+@pytest.mark.parametrize(
+    "statement",
+    [
+        "DELETE FROM kept WHERE key = 'term'",
+        "UPDATE kept SET value = 0 WHERE key = 'term'",
+        "DROP TABLE log",
+        "UPDATE kept SET value = 'many' WHERE key = 'snapshot_number'",
+        "DELETE FROM log WHERE number = 8",
+        "UPDATE snapshot SET value = 7 WHERE name = '0-1'",
+        "UPDATE snapshot SET kind = 77 WHERE name = '0-1'",
+        "DELETE FROM snapshot WHERE name = '0-1'",
+        "UPDATE log SET rows = x'c1' WHERE number = 7",
+        "UPDATE log SET rows = x'9193026178c4020001' WHERE number = 7",
+        "UPDATE log SET digest = 5 WHERE number = 6",
+    ],
+)
 def test_records_that_are_not_those_stored_are_refused(tmp_path, built, statement):
     (tmp_path / "db").write_bytes(built[0])
     with sqlite3.connect(tmp_path / "db") as link:
@@ -246,10 +259,10 @@
     chance, path = random.Random(seed), tmp_path / "db"
     data, held = bytearray(built[0]), built[1]
     if seed % 4 == 0:
-        del data[chance.randrange(len(data)):]
+        del data[chance.randrange(len(data)) :]
     else:
         at = chance.randrange(len(data))
-        data[at:at + chance.choice((1, 8, 500))] = chance.randbytes(chance.choice((1, 8, 500)))
+        data[at : at + chance.choice((1, 8, 500))] = chance.randbytes(chance.choice((1, 8, 500)))
     path.write_bytes(data)
     try:
         database = Database(path)
@@ -265,13 +278,14 @@
     """Kill -9 while it commits and folds, again and again upon the same database."""
     chance, path, acknowledged = random.Random(seed), tmp_path / "db", 0
     for _ in range(3):
-        process = subprocess.Popen([sys.executable, "-c", CHILD, str(path)], stdout=subprocess.PIPE, text=True,
-                                   cwd=ROOT)
+        process = subprocess.Popen(
+            [sys.executable, "-c", CHILD, str(path)], stdout=subprocess.PIPE, text=True, cwd=ROOT
+        )
         try:
             for _ in range(chance.randrange(1, 25)):
                 acknowledged = int(process.stdout.readline())
             process.send_signal(signal.SIGKILL)
-            rest = process.stdout.read().split("\n")[:-1]   # what it still said is said
+            rest = process.stdout.read().split("\n")[:-1]  # what it still said is said
             acknowledged = int(rest[-1]) if rest else acknowledged
         finally:
             process.kill()
--- a/tests/test_control_witness.py
+++ b/tests/test_control_witness.py
@@ -1,6 +1,7 @@
 """Machines that are broken on purpose, each in a scene where the right one does well: the witness of controlworld.py
 must find every one.
 """
+
 import msgspec
 import pytest
 from controlfleet import fleet, with_feeder
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -1,4 +1,5 @@
 """How news of the list can get lost or come late between the agent and the keeper: each crossing is forced."""
+
 import json
 import math
 import random
@@ -24,8 +25,9 @@
 
 
 def here_of(address, **more):
-    values = dict(discovery=address, known={"version": 1}, connect_patience=0.25,
-                  birth=SimpleNamespace(asks_list=False, seed=5))
+    values = dict(
+        discovery=address, known={"version": 1}, connect_patience=0.25, birth=SimpleNamespace(asks_list=False, seed=5)
+    )
     return SimpleNamespace(**(values | more))
 
 
@@ -58,6 +60,7 @@
 def test_news_whose_version_counts_as_read_are_told_whatever_is_cancelled():
     """The watch is given up (SIGHUP, a time-out, the module) in the very turn in which its answer has been read: the
     news is told, or it is asked for again. What must not be is a version that has moved on without the news."""
+
     class Line:
         async def write(self, request):
             targets.append(request.target)
@@ -65,7 +68,7 @@
         async def read(self):
             if len(targets) > 4:
                 await trio.sleep_forever()
-            watch.watching.cancel()     # the next wait, wherever it is, ends in a cancel
+            watch.watching.cancel()  # the next wait, wherever it is, ends in a cancel
             body = json.dumps({"version": len(targets) + 1, "full": False, "servers": [ENTRY]}).encode()
             return SimpleNamespace(head=SimpleNamespace(status_code=200), body=body)
 
@@ -92,6 +95,7 @@
 
 def test_an_answer_of_the_agent_before_says_nothing_of_the_version_at_the_new_one():
     """SIGHUP while the old agent's answer is on its way: both watch and whole read."""
+
     async def main():
         queue, inbox = trio.open_memory_channel(math.inf)
         with agents(2) as (old, new):
@@ -110,7 +114,9 @@
                 fresh.sendall(answer(3))
                 told = [await inbox.receive() for _ in range(2)]
                 assert sorted(told, key=lambda news: news.failed) == [
-                    Listed(True, False, [ENTRY]), Listed(False, True, ())]
+                    Listed(True, False, [ENTRY]),
+                    Listed(False, True, ()),
+                ]
                 assert b"from=3&" in await asked(fresh)
                 for sock in (one, whole, fresh):
                     sock.close()
@@ -146,6 +152,7 @@
 def test_the_longest_way_from_a_failed_call_to_the_news_is_under_six_seconds(seed, monkeypatch):
     """Discovery is away, silent, or refuses for a time; whatever its calls met, and whatever the settings' patience
     with servers, six seconds after it could be reached its news is there. The instant of its return is drawn too."""
+
     class Line:
         async def write(self, request):
             self.hold = b"hold" in request.target
@@ -153,7 +160,7 @@
         async def read(self):
             begun = trio.current_time()
             while trio.current_time() < back[0] or self.silent:
-                self.silent = self.silent or begun < back[0]    # begun in the outage: never answered
+                self.silent = self.silent or begun < back[0]  # begun in the outage: never answered
                 await trio.sleep(0.05)
             await trio.sleep(0.9 if slow else 0.0)
             told.append(trio.current_time())
--- a/tests/test_drills.py
+++ b/tests/test_drills.py
@@ -1,4 +1,5 @@
 """Drills on real processes of the program: leases under schedules drawn from a seed, and what a witness saw of them."""
+
 import json
 import os
 import signal
@@ -41,7 +42,7 @@
     drill = lease_drill(1, length_ms=1000, seconds=9.5, troubles=troubles)
     assert not drill.faults and drill.terms >= 3
     waited = dict(drill.without)
-    assert waited["leave"] < 0.5 < waited["stop"] < 3.0     # not a lease's length, and not until it goes on
+    assert waited["leave"] < 0.5 < waited["stop"] < 3.0  # not a lease's length, and not until it goes on
 
 
 def test_the_witness_finds_what_it_is_there_for():
@@ -63,17 +64,20 @@
 def modules_of(*words, **more):
     """What a gateway has loaded once it serves, its resident memory, and the time that this took."""
     environment = {key: value for key, value in os.environ.items() if not key.startswith("LB_")} | more
-    program = ("import sys, runpy, threading, time, os, signal\n"
-               "def look():\n"
-               "    time.sleep(0.8)\n"
-               "    kb = [l for l in open('/proc/self/status') if l.startswith('VmRSS')][0].split()[1]\n"
-               "    print(kb, *sorted(sys.modules), flush=True)\n"
-               "    os.kill(os.getpid(), signal.SIGKILL)\n"
-               "threading.Thread(target=look, daemon=True).start()\n"
-               "sys.argv = ['oakfork']\n"
-               "runpy.run_module('oakfork', run_name='__main__')\n")
-    done = subprocess.run([sys.executable, "-c", program], env=environment, capture_output=True, text=True, cwd=ROOT,
-                          timeout=20)
+    program = (
+        "import sys, runpy, threading, time, os, signal\n"
+        "def look():\n"
+        "    time.sleep(0.8)\n"
+        "    kb = [l for l in open('/proc/self/status') if l.startswith('VmRSS')][0].split()[1]\n"
+        "    print(kb, *sorted(sys.modules), flush=True)\n"
+        "    os.kill(os.getpid(), signal.SIGKILL)\n"
+        "threading.Thread(target=look, daemon=True).start()\n"
+        "sys.argv = ['oakfork']\n"
+        "runpy.run_module('oakfork', run_name='__main__')\n"
+    )
+    done = subprocess.run(
+        [sys.executable, "-c", program], env=environment, capture_output=True, text=True, cwd=ROOT, timeout=20
+    )
     memory, *modules = done.stdout.split()
     return int(memory), set(modules)
 
@@ -94,8 +98,9 @@
     (tmp_path / "fleet.toml").write_text("revision = 1\n")
     environment = {"LB_CONFIG": str(tmp_path / "n0.json"), "LB_FLEET": str(tmp_path / "fleet.toml")}
     begun = time.monotonic()
-    done = subprocess.run([sys.executable, "-m", "oakfork"], env=environment, capture_output=True, text=True, cwd=ROOT,
-                          timeout=20)
+    done = subprocess.run(
+        [sys.executable, "-m", "oakfork"], env=environment, capture_output=True, text=True, cwd=ROOT, timeout=20
+    )
     line = json.loads(done.stderr.splitlines()[0])
     assert done.returncode == 2 and "addresses" in line["error"] and "fleet check" in line["todo"]
     assert time.monotonic() - begun < 10
@@ -108,7 +113,7 @@
     view = fence.View(1, 0, 0)
     for age in range(0, lengths.stale + 1, 100):
         assert fence.end_there(view, age + lengths.act, lengths) > age + lengths.act * 3 // 4
-    assert fence.end_there(view, 120_000 + lengths.act, lengths) < 120_000      # what an old one would do
+    assert fence.end_there(view, 120_000 + lengths.act, lengths) < 120_000  # what an old one would do
     drill = lease_drill(3, seconds=6.0, troubles=[])
     assert not drill.faults and drill.refused.get("late", 0) < 0.02 * drill.acts
 
@@ -119,7 +124,7 @@
     got = drill.tenant_ok[4:]
     # Without a contract it gets half of it. On a machine that other things run on single seconds say little.
     assert sum(got) / len(got) > 0.7 * RESERVED and min(got) > 0.2 * RESERVED
-    assert sum(drill.others_ok[4:]) / len(got) < CAPACITY      # and they were pressed for it
+    assert sum(drill.others_ok[4:]) / len(got) < CAPACITY  # and they were pressed for it
 
 
 def test_an_rpc_inside_reserved_capacity_is_not_shed_and_all_else_is_as_before():
@@ -128,10 +133,10 @@
     plain.let_in = told.let_in = 0.0
     assert kinds(plain.handle(0, arrival(1, 1))) == [face.PushBack]
     assert kinds(told.handle(0, arrival(1, 1)._replace(reserved=True))) == [face.Send]
-    assert plain.desk.chance != told.desk.chance    # it went on, to a choice of server
+    assert plain.desk.chance != told.desk.chance  # it went on, to a choice of server
     quota = gateway()
     sent = [face.Send in kinds(quota.handle(100, arrival(rpc)._replace(reserved=True))) for rpc in range(12)]
-    assert sent == [True] * 8 + [False] * 4         # the customer's quota holds as ever
+    assert sent == [True] * 8 + [False] * 4  # the customer's quota holds as ever
 
 
 def test_a_book_that_is_not_usable_is_refused_at_the_start_and_the_old_one_holds_on_sighup(tmp_path):
@@ -143,11 +148,14 @@
     (tmp_path / "n0.json").write_text(json.dumps(plain_configuration(0, free_port(), 1)))
     fleet = (ROOT / "deploy/fleet.example.toml").read_text().replace("127.0.0.1:7950", free_port(socket.SOCK_DGRAM))
     (tmp_path / "fleet.toml").write_text(fleet)
-    environment = {f"LB_{name.upper()}": str(tmp_path / file) for name, file in (
-        ("config", "n0.json"), ("fleet", "fleet.toml"), ("contracts", "book.toml"))}
+    environment = {
+        f"LB_{name.upper()}": str(tmp_path / file)
+        for name, file in (("config", "n0.json"), ("fleet", "fleet.toml"), ("contracts", "book.toml"))
+    }
     (tmp_path / "book.toml").write_text(overbooked)
-    done = subprocess.run([sys.executable, "-m", "oakfork"], env=environment, capture_output=True, text=True, cwd=ROOT,
-                          timeout=20)
+    done = subprocess.run(
+        [sys.executable, "-m", "oakfork"], env=environment, capture_output=True, text=True, cwd=ROOT, timeout=20
+    )
     assert done.returncode == 2 and "have 601 legs a second reserved" in done.stderr
     (tmp_path / "book.toml").write_text(good)
     with open(tmp_path / "log", "wb") as log:
--- a/tests/test_earlier.py
+++ b/tests/test_earlier.py
@@ -1,4 +1,5 @@
 """What is kept under a small index, a customer or a serial must not speak for its next bearer; units go back once."""
+
 import pytest
 from gateways import ended, frame_of, gateway, kinds, owned_by
 from world import PLANS, arrival, birth, entry
@@ -34,7 +35,7 @@
 def test_a_probe_of_an_earlier_process_says_nothing_of_the_one_that_runs_there_now():
     brain = single(probing=True)
     brain.handle(START + 10, face.ServerList(False, False, (entry(0, State.READY, START + 10),)))
-    brain.handle(START + 500, face.ProbeEnded(0, Status.OK, 499, ()))       # asked before
+    brain.handle(START + 500, face.ProbeEnded(0, Status.OK, 499, ()))  # asked before
     assert brain.servers.all[0].seen_at < 0 and not brain.servers.quickest
     brain.handle(START + 520, face.ProbeEnded(0, Status.OK, 20, ()))
     assert brain.servers.all[0].seen_at == START + 520
@@ -68,27 +69,28 @@
         yes = wire.pack(9, brain.links.life, 2, 0, [wire.pack_item(wire.Answer(ask.serial, 0))])
         commands = brain.handle(30, face.PeerFrame(1, yes)) + brain.handle(31, face.TimeCame(0))
         returned = [item for item in frame_of(commands).items if isinstance(item, wire.Return)]
-        assert [item.units for item in returned] == [1.0]       # what the owner gave goes back, once
+        assert [item.units for item in returned] == [1.0]  # what the owner gave goes back, once
     else:
         brain = gateway(probing=True)
         brain.servers.trouble = 0.9
         probed = [c.server for c in brain.handle(5 * SECOND, arrival(1, 1)) if isinstance(c, face.Probe)]
         assert len(probed) == 2
         brain.handle(5 * SECOND + 1, face.ClientGone(1))
-        commands = [c for server in probed for c in brain.handle(5 * SECOND + 9, face.ProbeEnded(
-            server, Status.OK, 8, ()))]
+        commands = [
+            c for server in probed for c in brain.handle(5 * SECOND + 9, face.ProbeEnded(server, Status.OK, 8, ()))
+        ]
         commands += brain.handle(6 * SECOND, face.TimeCame(0))
     assert face.Send not in kinds(commands) and not brain.rpcs
 
 
 def test_units_go_back_once_and_only_for_what_was_never_sent():
-    brain = gateway(servers=0)      # nothing to send to: pushed back before it costs anything
+    brain = gateway(servers=0)  # nothing to send to: pushed back before it costs anything
     brain.handle(10, arrival(1, 5))
     assert (5, 0) not in brain.quotas.buckets
     brain = gateway()
     brain.handle(10, arrival(1, 5))
     server = brain.rpcs[1].out[0]
-    brain.handle(20, face.ClientGone(1))        # it was sent
+    brain.handle(20, face.ClientGone(1))  # it was sent
     brain.handle(40, ended(1, 0, server, Status.CANCELLED, True))
     assert not brain.rpcs and brain.quotas.buckets[5, 0].tokens == pytest.approx(PLANS[0].burst - 1, abs=0.02)
 
@@ -99,11 +101,11 @@
     brain.handle(10, face.PeerFrame(0, wire.pack(9, 0, 1, 0, [ask])))
     for now in range(SECOND, 6 * SECOND, SECOND):
         brain.handle(now, face.TimeCame(0))
-    assert (5, 0) not in brain.quotas.buckets       # full again, and dropped
+    assert (5, 0) not in brain.quotas.buckets  # full again, and dropped
     back = [wire.pack_item(wire.Return(5, 0, 1.0))] * 3
     brain.handle(6 * SECOND, face.PeerFrame(0, wire.pack(9, brain.links.life, 2, 6000, back)))
     assert brain.quotas.buckets[5, 0].tokens == PLANS[0].burst
-    taken = [wire.pack_item(wire.Return(5, 0, -1.0))] * 3   # what a slice spent meanwhile counts in full
+    taken = [wire.pack_item(wire.Return(5, 0, -1.0))] * 3  # what a slice spent meanwhile counts in full
     brain.handle(6 * SECOND, face.PeerFrame(0, wire.pack(9, brain.links.life, 3, 6000, taken)))
     assert brain.quotas.buckets[5, 0].tokens == PLANS[0].burst - 3
 
@@ -121,7 +123,7 @@
     brain = Brain(birth(), START)
     brain.handle(START, face.ServerList(True, False, tuple(map(entry, range(3)))))
     [first] = [c.server for c in brain.handle(START + 1, arrival(1, 1, method=2)) if isinstance(c, face.Send)]
-    brain.handle(START + 2, face.ServerList(False, False, (entry(first, State.READY, 1),)))     # restarted long ago
+    brain.handle(START + 2, face.ServerList(False, False, (entry(first, State.READY, 1),)))  # restarted long ago
     brain.handle(START + 3, face.ServerList(False, False, (entry(first, State.GONE, 1),)))
     [second] = [c.server for c in brain.handle(START + 4, ended(1, 0, first, Status.ERROR)) if isinstance(c, face.Send)]
     assert brain.handle(START + 5, face.ServerList(False, False, ())) == []
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -1,4 +1,5 @@
 """Every error the program raises says what an operator can do, and the same words stand in the log and the docs."""
+
 import ast
 import builtins
 import importlib
@@ -24,16 +25,24 @@
     """The names of all types raised; `raise` alone and `raise error` pass on what is there; an argument of `type[X]` is
     an X."""
     caught = {handler.name for handler in ast.walk(tree) if isinstance(handler, ast.ExceptHandler)}
-    given = {arg.arg: arg.annotation.slice.id for arg in ast.walk(tree) if isinstance(arg, ast.arg)
-             and isinstance(arg.annotation, ast.Subscript) and ast.unparse(arg.annotation).startswith("type[")}
+    given = {
+        arg.arg: arg.annotation.slice.id
+        for arg in ast.walk(tree)
+        if isinstance(arg, ast.arg)
+        and isinstance(arg.annotation, ast.Subscript)
+        and ast.unparse(arg.annotation).startswith("type[")
+    }
     names = [_name(node.exc) for node in ast.walk(tree) if isinstance(node, ast.Raise) and node.exc is not None]
     return [given.get(name, name) for name in names if name not in caught]
 
 
 @pytest.mark.parametrize("path", SOURCES, ids=lambda path: str(path.relative_to(ROOT)))
 def test_every_raised_error_says_what_to_do(path):
-    module = importlib.import_module(".".join(path.relative_to(ROOT).with_suffix("").parts)) \
-        if path.name not in ("__main__.py",) else errors
+    module = (
+        importlib.import_module(".".join(path.relative_to(ROOT).with_suffix("").parts))
+        if path.name not in ("__main__.py",)
+        else errors
+    )
     for name in _raised(ast.parse(path.read_text())):
         kind = getattr(module, name, None) or getattr(errors, name, None) or getattr(builtins, name)
         assert issubclass(kind, errors.OakforkError) and kind.todo, f"{name} says nothing of what to do"
@@ -53,10 +62,16 @@
 
 def test_the_log_line_of_an_error_has_its_text(tmp_path):
     discovery = Discovery([])
-    document = told(discovery.address, []) | {"listen": discovery.address}     # taken
+    document = told(discovery.address, []) | {"listen": discovery.address}  # taken
     (tmp_path / "n0.json").write_text(json.dumps(document))
-    done = subprocess.run([sys.executable, "-m", "oakfork"], env={"LB_CONFIG": str(tmp_path / "n0.json")},
-                          capture_output=True, text=True, timeout=20, cwd=ROOT)
+    done = subprocess.run(
+        [sys.executable, "-m", "oakfork"],
+        env={"LB_CONFIG": str(tmp_path / "n0.json")},
+        capture_output=True,
+        text=True,
+        timeout=20,
+        cwd=ROOT,
+    )
     discovery.shutdown()
     discovery.server_close()
     line = json.loads(done.stderr.splitlines()[0])
--- a/tests/test_experiments.py
+++ b/tests/test_experiments.py
@@ -1,4 +1,5 @@
 """Experiment files, sweeps and comparisons."""
+
 import copy
 import json
 import os
@@ -13,8 +14,11 @@
 
 
 def _sweep(folder, workers, document=None, player=play):
-    document = document or told(sweep=None) | {"seeds": [1, 2], "policies": ["oakfork", "random"],
-                                               "sweep": {"world.gateways": [1, 3]}}
+    document = document or told(sweep=None) | {
+        "seeds": [1, 2],
+        "policies": ["oakfork", "random"],
+        "sweep": {"world.gateways": [1, 3]},
+    }
     document["world"].pop("sweep", None)
     document["world"]["seconds"] = 2
     return Sweep(files.checked(document, "digest"), folder, workers, player)
@@ -33,7 +37,7 @@
     _sweep(tmp_path, 2).run()
     whole = (tmp_path / RESULTS).read_bytes()
     (tmp_path / "runs/00003.json").unlink()
-    (tmp_path / "runs/00005.json").write_text('{"half')       # killed while it was written
+    (tmp_path / "runs/00005.json").write_text('{"half')  # killed while it was written
     played = []
     _sweep(tmp_path, 1).run(lambda run, result: played.append(run.number))
     assert played == [3, 5] and (tmp_path / RESULTS).read_bytes() == whole
@@ -43,7 +47,7 @@
     if run.number == 2:
         raise ZeroDivisionError("on purpose")
     if run.number == 5:
-        os._exit(9)     # as if killed for its memory
+        os._exit(9)  # as if killed for its memory
     return {"played": run.number}
 
 
@@ -54,27 +58,40 @@
     assert [row.get("played") for row in results] == [0, 1, None, 3, 4, None, 6, 7]
 
 
-@pytest.mark.parametrize("change, place", [
-    ({"world": None}, "world: None is not of type"), ({"seeds": []}, "seeds: "), ({"nonsense": 1}, "'nonsense'"),
-    ({"policies": ["best"]}, "policies[0]"), ({"name": "Über"}, "name: "), ({"seeds": [1.5]}, "seeds[0]"),
-    ({"sweep": {"world.gatways": [1]}}, "sweep.world.gatways"),
-    ({"sweep": {"world.gateways": [0]}}, "world.gateways: 0"),
-    ({"sweep": {"world.seconds": list(range(1, 101)), "world.gateways": list(range(1, 101))}}, "sweep: "),
-    ({"faults": [{"kind": "slow", "at_s": 3, "until_s": 2}]}, "faults[0].until_s"),
-    ({"faults": [{"kind": "slow", "at_s": 1, "until_s": 2}]}, "faults[0].size"),
-    ({"faults": [{"kind": "cut_zone", "at_s": 1, "until_s": 2, "zone": 4}]}, "faults[0].zone"),
-])
+@pytest.mark.parametrize(
+    "change, place",
+    [
+        ({"world": None}, "world: None is not of type"),
+        ({"seeds": []}, "seeds: "),
+        ({"nonsense": 1}, "'nonsense'"),
+        ({"policies": ["best"]}, "policies[0]"),
+        ({"name": "Über"}, "name: "),
+        ({"seeds": [1.5]}, "seeds[0]"),
+        ({"sweep": {"world.gatways": [1]}}, "sweep.world.gatways"),
+        ({"sweep": {"world.gateways": [0]}}, "world.gateways: 0"),
+        ({"sweep": {"world.seconds": list(range(1, 101)), "world.gateways": list(range(1, 101))}}, "sweep: "),
+        ({"faults": [{"kind": "slow", "at_s": 3, "until_s": 2}]}, "faults[0].until_s"),
+        ({"faults": [{"kind": "slow", "at_s": 1, "until_s": 2}]}, "faults[0].size"),
+        ({"faults": [{"kind": "cut_zone", "at_s": 1, "until_s": 2, "zone": 4}]}, "faults[0].zone"),
+    ],
+)
 def test_files_that_are_not_usable_are_refused_with_the_place(change, place):
     with pytest.raises(files.ExperimentError) as error:
         files.checked(copy.deepcopy(SMALL) | change)
     assert any(place in fault for fault in error.value.faults), error.value.faults
 
 
-@pytest.mark.parametrize("path, value, place", [
-    ("seconds", 1e9, "world.seconds"), ("methods__0__soft_ms", 9e5, "soft_ms"),
-    ("plans__1__ceiling_rate", 1, "ceiling"),
-    ("seconds", 3600, "larger than can be run"), ("servers__cold_share", float("nan"), "world.servers.cold_share"),
-    ("links__peer_loss", float("inf"), "world.links.peer_loss")])
+@pytest.mark.parametrize(
+    "path, value, place",
+    [
+        ("seconds", 1e9, "world.seconds"),
+        ("methods__0__soft_ms", 9e5, "soft_ms"),
+        ("plans__1__ceiling_rate", 1, "ceiling"),
+        ("seconds", 3600, "larger than can be run"),
+        ("servers__cold_share", float("nan"), "world.servers.cold_share"),
+        ("links__peer_loss", float("inf"), "world.links.peer_loss"),
+    ],
+)
 def test_contradictory_and_enormous_worlds_are_refused(path, value, place):
     document = copy.deepcopy(SMALL)
     where = document["world"] | {"gateways": 1000}
@@ -94,7 +111,7 @@
         dice, damaged = random.Random(seed), bytearray(text)
         for _ in range(3):
             at = dice.randrange(len(damaged))
-            damaged[at:at + dice.randrange(3)] = dice.randbytes(dice.randrange(3))
+            damaged[at : at + dice.randrange(3)] = dice.randbytes(dice.randrange(3))
         path.write_bytes(damaged)
         try:
             files.read(path)
@@ -109,9 +126,16 @@
 
 def test_differences_are_told_from_noise_only_where_they_can_be():
     def row(policy, seed, ok):
-        return {"run": {"policy": policy, "seed": seed, "point": {}},
-                "result": {"sums": {"ok": ok, "asked": 100.0}, "latency_ms": {"p50": 1, "p99": 2}, "broken": {},
-                           "to_first_call_out_ms": {"p50": 1}}}
+        return {
+            "run": {"policy": policy, "seed": seed, "point": {}},
+            "result": {
+                "sums": {"ok": ok, "asked": 100.0},
+                "latency_ms": {"p50": 1, "p99": 2},
+                "broken": {},
+                "to_first_call_out_ms": {"p50": 1},
+            },
+        }
+
     dice = random.Random(4)
     rows = [row("a", seed, 50 + seed) for seed in range(8)]
     rows += [row("b", seed, 55 + seed + dice.uniform(-1, 1)) for seed in range(8)]  # seeds differ more
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,4 +1,5 @@
 """A large tier under the failures of a release: the rules are checked after every step. Bench-free, seeded."""
+
 import heapq
 from collections import Counter
 
@@ -9,8 +10,8 @@
 from oakfork.brain import Brain
 from oakfork.interface import SECOND, State, Status
 
-CORES = 3       # of a server here; the module is told of none
-WORK = 1_650    # usual length of a call-out here
+CORES = 3  # of a server here; the module is told of none
+WORK = 1_650  # usual length of a call-out here
 
 
 class Fleet(World):
@@ -19,20 +20,29 @@
     def __init__(self, seed: int, gateways: int = 40, servers: int = 24, asks_list: bool = True) -> None:
         self.asks_list = asks_list
         self.truth = {server: (State.READY, 0) for server in range(servers)}
-        self.known = [dict(self.truth) for _ in range(gateways)]    # what each had last, also through a restart
+        self.known = [dict(self.truth) for _ in range(gateways)]  # what each had last, also through a restart
         self.subscribed = [not asks_list] * gateways
-        self.lost: set[int] = set()         # servers that say nothing
-        self.bad: set[int] = set()          # servers that fail most call-outs
-        self.cuts: set[tuple[int, int]] = set()     # frames from the one never reach the other
+        self.lost: set[int] = set()  # servers that say nothing
+        self.bad: set[int] = set()  # servers that fail most call-outs
+        self.cuts: set[tuple[int, int]] = set()  # frames from the one never reach the other
         self.silent_until = self.refused = 0
-        self.cold: dict[int, list[int]] = {}        # server -> when call-outs came
+        self.cold: dict[int, list[int]] = {}  # server -> when call-outs came
         super().__init__(seed, gateways, servers, probing=True)
-        self.link_cap = 100 / 4     # most others say nothing at any time
+        self.link_cap = 100 / 4  # most others say nothing at any time
 
     def launch(self, index: int) -> None:
         self.end_life(index)
-        told = birth(index, self.count, self.dice.getrandbits(64), probing=True, asks_list=self.asks_list,
-                     probe_price=0.08, connection_price=0.08, mail_per_s=100.0, list_patience=10 * SECOND)
+        told = birth(
+            index,
+            self.count,
+            self.dice.getrandbits(64),
+            probing=True,
+            asks_list=self.asks_list,
+            probe_price=0.08,
+            connection_price=0.08,
+            mail_per_s=100.0,
+            list_patience=10 * SECOND,
+        )
         self.brains[index] = Brain(told, self.now)
         self.subscribed[index] = not self.asks_list
         self.told[index] = {}
@@ -58,17 +68,23 @@
 
     def list_whole(self, index: int) -> None:
         self.subscribed[index] = True
-        self.give(index, face.ServerList(True, False, tuple(entry(s, *at) for s, at in self.truth.items()
-                                                            if at[0] != State.GONE)))
+        self.give(
+            index,
+            face.ServerList(True, False, tuple(entry(s, *at) for s, at in self.truth.items() if at[0] != State.GONE)),
+        )
 
     def change(self, server: int, state: State, since: int = 0) -> None:
         """Tells those that are subscribed, each late in its own time."""
         self.truth[server] = state, since
         for index in range(self.count):
             if self.subscribed[index]:
-                self.later(self.dice.randint(100, 8_000), index,
-                           lambda index: self.give(index, face.ServerList(False, False, (
-                               entry(server, *self.truth[server]),))))
+                self.later(
+                    self.dice.randint(100, 8_000),
+                    index,
+                    lambda index: self.give(
+                        index, face.ServerList(False, False, (entry(server, *self.truth[server]),))
+                    ),
+                )
 
     def carries(self, sender: int, receiver: int) -> bool:
         return (sender, receiver) not in self.cuts
@@ -110,7 +126,7 @@
         ready = [server for server, (state, _) in self.truth.items() if state == State.READY]
         for server in self.dice.sample(ready, int(len(ready) * share)):
             at, new = self.dice.randrange(within), len(self.truth)
-            self.truth[new] = State.GONE, 0     # its number is taken
+            self.truth[new] = State.GONE, 0  # its number is taken
             self.at(at, lambda server=server: self.change(server, State.DRAINING))
             self.at(at + SECOND, lambda new=new: self.change(new, State.READY, self.now))
             self.at(at + 2 * SECOND, lambda server=server: self.change(server, State.GONE))
@@ -142,7 +158,7 @@
         return {kind: number - before[kind] for kind, number in self.answers.items()}
 
     def disturb(self) -> None:
-        pass    # each test brings about its own failures
+        pass  # each test brings about its own failures
 
 
 @pytest.mark.parametrize("seed", range(4))
@@ -154,11 +170,11 @@
     fleet.silent_until = fleet.now + 4 * SECOND
     fleet.press()
     fleet.kill(0.9)
-    for seconds in (0.52, 0.1, 0.5, 1):     # the greetings are answered meanwhile
+    for seconds in (0.52, 0.1, 0.5, 1):  # the greetings are answered meanwhile
         fleet.run(seconds)
         fleet.press()
     fleet.run(3)
-    assert 36 < fleet.refused < 36 * 4      # each asked again now and then, not ten times a second
+    assert 36 < fleet.refused < 36 * 4  # each asked again now and then, not ten times a second
     fleet.run(12)
     assert sum(fleet.subscribed) >= 34
     fleet.run(24, 20)
@@ -177,7 +193,7 @@
     zone = [server for server in fleet.truth if server % 2 == 0]
     fleet.lost.update(zone)
     fleet.run(4)
-    for server in zone:     # told late that they were gone, and soon after that they are back
+    for server in zone:  # told late that they were gone, and soon after that they are back
         fleet.change(server, State.GONE)
     fleet.run(1)
     fleet.lost.clear()
@@ -204,8 +220,8 @@
 def test_gateways_that_hold_different_lists_of_servers_and_of_each_other(seed):
     fleet = Fleet(seed, asks_list=False)
     dice = fleet.dice
-    fleet.cuts = {(a, b) for a in range(40) for b in range(40) if dice.random() < 0.3}      # most one-way
-    for index in range(40):     # each has a part of the servers, and one that nobody else has heard of
+    fleet.cuts = {(a, b) for a in range(40) for b in range(40) if dice.random() < 0.3}  # most one-way
+    for index in range(40):  # each has a part of the servers, and one that nobody else has heard of
         for server in dice.sample(range(24), 10):
             fleet.give(index, face.ServerList(False, False, (entry(server, State.GONE),)))
         fleet.truth[100 + index] = State.READY, fleet.now
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -1,4 +1,5 @@
 """The real gateway as a program, spoken to over sockets."""
+
 import io
 import random
 import select
@@ -32,15 +33,22 @@
 
 def test_an_rpc_passes_on_unchanged(world):
     with world(echo) as w:
-        status, body, answered = rpc(w.at, "POST", f"/api?client={CUSTOMER}&more=%20x", b"\x00body", lane="seal",
-                                     X_Txn="9b1f03aa5c7e2d41", Idempotency_Key="5c0f")
+        status, body, answered = rpc(
+            w.at,
+            "POST",
+            f"/api?client={CUSTOMER}&more=%20x",
+            b"\x00body",
+            lane="seal",
+            X_Txn="9b1f03aa5c7e2d41",
+            Idempotency_Key="5c0f",
+        )
         method, path, passed, came = w.seen()[0]
         assert (status, body) == (200, b"made for 9b1f03aa5c7e2d41 \x00body")
         assert (method, path, came) == ("POST", f"/api?client={CUSTOMER}&more=%20x", b"\x00body")
         lower = {name.lower(): value for name, value in passed.items()}
         assert lower["x-txn"] == "9b1f03aa5c7e2d41" and lower["idempotency-key"] == "5c0f"
         assert 1000 < int(lower["x-remaining-ms"]) <= 1500 and "x-tier" not in lower
-        link = connection(w.at)     # many RPCs on one connection use one connection to the server
+        link = connection(w.at)  # many RPCs on one connection use one connection to the server
         assert all(rpc(w.at, link=link)[0] == 200 for _ in range(5)) and len(w.seen()) == 6
 
 
@@ -86,7 +94,7 @@
             handler.reply(200, bytes(range(256)) * 1500)
 
     with world(act) as w:
-        slow = socket.create_connection(configuration.address(w.at), timeout=5)     # takes it bit by bit
+        slow = socket.create_connection(configuration.address(w.at), timeout=5)  # takes it bit by bit
         slow.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         slow.sendall(request_bytes(**{"X-Remaining-Ms": "2000", "X-Txn": "5"}))
         assert rpc(w.at)[:2] == (200, bytes(range(256)) * 1500)
@@ -104,7 +112,7 @@
             asked.append(handler.server)
         if len(asked) == 1:
             handler.wfile.write(b"HTTP/1.1 102 Processing\r\n\r\n")
-            time.sleep(0.4)     # no answer has begun yet
+            time.sleep(0.4)  # no answer has begun yet
             handler.wfile.write(b"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf")
             time.sleep(1.5)
         else:
@@ -189,7 +197,7 @@
     def act(handler, body):
         wfile, handler.wfile = handler.wfile, io.BytesIO()
         echo(handler, body)
-        wfile.write(b"HTTP/1.1 103 Early Hints\r\n\r\n" + handler.wfile.getvalue() + more)    # at one stroke
+        wfile.write(b"HTTP/1.1 103 Early Hints\r\n\r\n" + handler.wfile.getvalue() + more)  # at one stroke
         handler.wfile = wfile
 
     with world(act) as w:
@@ -203,10 +211,20 @@
     servers = [entry(0, server.address)]
     discovery = Discovery(servers)
     peers = [free_port(socket.SOCK_DGRAM) for _ in range(2)]
-    both = [told(discovery.address, servers, name=f"n{i}", peers=peers, peer_listen=peers[i], seed=f"{i + 1:x}",
-                 settings=settings(2, i, aim=20_000.0)) for i in range(2)]     # an ask waits two seconds
+    both = [
+        told(
+            discovery.address,
+            servers,
+            name=f"n{i}",
+            peers=peers,
+            peer_listen=peers[i],
+            seed=f"{i + 1:x}",
+            settings=settings(2, i, aim=20_000.0),
+        )
+        for i in range(2)
+    ]  # an ask waits two seconds
     with started(tmp_path, both[0]), started(tmp_path, both[1]):
-        with closing(socket.socket(socket.AF_INET, socket.SOCK_DGRAM)) as stranger:     # changes nothing
+        with closing(socket.socket(socket.AF_INET, socket.SOCK_DGRAM)) as stranger:  # changes nothing
             for size in (0, 1, 256, 300):
                 stranger.sendto(random.Random(size).randbytes(size), configuration.address(peers[0]))
         terms = {"X_Call_Terms": "units=1,spread=2,first=0", "tier": "basic"}
@@ -229,8 +247,13 @@
         elif how == "error":
             handler.reply(500)
         elif how in ("half", "nonsense", "break"):
-            handler.wfile.write({"half": b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nha", "break": b"",
-                                 "nonsense": b"\x00\x01\x02\r\n\r\n"}[how])
+            handler.wfile.write(
+                {
+                    "half": b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nha",
+                    "break": b"",
+                    "nonsense": b"\x00\x01\x02\r\n\r\n",
+                }[how]
+            )
             handler.close_connection = True
         else:
             time.sleep(0.3 if how == "slow" else 0.0)
@@ -241,8 +264,9 @@
         link = connection(w.at)
         for number in range(120):
             lane, name = chance.choice(["read", "seal", "hand"]), "%016x" % number
-            status, body, _ = rpc(w.at, "POST", lane=lane, body=b"b", X_Txn=name, link=link, X_Remaining_Ms="250",
-                                  Idempotency_Key=name)
+            status, body, _ = rpc(
+                w.at, "POST", lane=lane, body=b"b", X_Txn=name, link=link, X_Remaining_Ms="250", Idempotency_Key=name
+            )
             with lock:
                 ran = runs.get(name, [])
             assert status in (200, 502, 503)
@@ -257,8 +281,14 @@
 
 def test_a_configuration_that_is_not_usable_is_named(tmp_path):
     path = tmp_path / "c.json"
-    for text in ("", "[]", "{}", '{"listen": "x", "settings": {}}', '{"listen": "a:1", "discovery": "a:99999"}',
-                 '{"listen": "a:1", "discovery": "a:2", "settings": {}, "known": []}'):
+    for text in (
+        "",
+        "[]",
+        "{}",
+        '{"listen": "x", "settings": {}}',
+        '{"listen": "a:1", "discovery": "a:99999"}',
+        '{"listen": "a:1", "discovery": "a:2", "settings": {}, "known": []}',
+    ):
         path.write_text(text)
         with pytest.raises(configuration.ConfigurationError):
             configuration.read({"LB_CONFIG": str(path)})
--- a/tests/test_keeper.py
+++ b/tests/test_keeper.py
@@ -1,4 +1,5 @@
 """Parts of the gateway on sockets by themselves."""
+
 import random
 import socket
 import time
@@ -74,7 +75,7 @@
     with keeper(tmp_path, monkeypatch, handle) as play:
         play(task)
     assert len(seen) > 500 and not wanted and seen == sorted(seen)
-    assert min(late) >= 0 and 40 < max(late) <= 2 * 40 + 10     # tenths of a ms: never early, two ticks at most
+    assert min(late) >= 0 and 40 < max(late) <= 2 * 40 + 10  # tenths of a ms: never early, two ticks at most
 
 
 def test_a_decision_that_fails_costs_its_own_rpc_only(tmp_path, monkeypatch):
@@ -85,11 +86,21 @@
 
     async def task(kept, queue):
         for units in (1, 2, 1):
-            head = h11.Request(method="GET", target=f"/api?client={CUSTOMER}", headers=[
-                ("Host", "a"), ("X-Txn", "1"), ("X-Lane", "read"), ("X-Tier", "free"), ("X-Remaining-Ms", "100"),
-                ("X-Call-Terms", f"units={units}")])
-            exchange = Exchange(Message(head, b""), kept.here.names, kept.here.birth,
-                                lambda answer: statuses.append(answer.status))
+            head = h11.Request(
+                method="GET",
+                target=f"/api?client={CUSTOMER}",
+                headers=[
+                    ("Host", "a"),
+                    ("X-Txn", "1"),
+                    ("X-Lane", "read"),
+                    ("X-Tier", "free"),
+                    ("X-Remaining-Ms", "100"),
+                    ("X-Call-Terms", f"units={units}"),
+                ],
+            )
+            exchange = Exchange(
+                Message(head, b""), kept.here.names, kept.here.birth, lambda answer: statuses.append(answer.status)
+            )
             await queue.send(Came(exchange))
             await trio.sleep(0.1)
         assert not kept.door.rpcs and kept.door.free == [0]
@@ -107,7 +118,7 @@
             return handler.reply(503)
         if len(totals) == 3:
             time.sleep(0.4)
-        handler.close_connection = len(totals) == 4     # as an idle one, without a word
+        handler.close_connection = len(totals) == 4  # as an idle one, without a word
         return handler.reply(200, b"2.5")
 
     async def main():
@@ -116,7 +127,7 @@
         async with trio.open_nursery() as nursery:
             nursery.start_soon(counter.run)
             for number in range(6):
-                if number == 5:     # SIGHUP: the old one is still there, and has an open connection
+                if number == 5:  # SIGHUP: the old one is still there, and has an open connection
                     counter.turn_to(configuration.address(other.address))
                 await trio.sleep(0.1)
                 assert counter.count(face.Count(number, -2.5, 40_000))
@@ -138,7 +149,7 @@
 
 
 def test_connections_that_break_after_idling_are_not_used_again_for_a_while():
-    def act(handler, body):     # drops without a word what was idle for a quarter of a second
+    def act(handler, body):  # drops without a word what was idle for a quarter of a second
         now = time.monotonic()
         if now - before.get(handler.connection, now) > 0.25:
             handler.close_connection = True
@@ -149,8 +160,7 @@
     async def main():
         servers = Servers(20, LARGEST_BODY, 0.25, 15.0, ())
         for pause in [0.3] * 10 + [REST + 0.02] * 10:
-            ending, _ = await servers.call(0, server.server_address,
-                                         lambda: plain("GET", "/", server.server_address))
+            ending, _ = await servers.call(0, server.server_address, lambda: plain("GET", "/", server.server_address))
             ends.append(ending)
             await trio.sleep(pause)
         for _ in range(30):
@@ -163,12 +173,20 @@
     server.shutdown()
     server.server_close()
     assert 1 <= ends.count(Ending.ENDED) <= 3 and set(ends) == {Ending.ANSWERED, Ending.ENDED}
-    assert len(before) < 12      # those that idled for less were used again
-
-
-@pytest.mark.parametrize("body, ending", [
-    (b"2.5", Ending.ANSWERED), (b"-1e3\n", Ending.ANSWERED), (b"", Ending.MALFORMED), (b"nan", Ending.MALFORMED),
-    (b"inf", Ending.MALFORMED), (b"\xff\x00", Ending.MALFORMED)])
+    assert len(before) < 12  # those that idled for less were used again
+
+
+@pytest.mark.parametrize(
+    "body, ending",
+    [
+        (b"2.5", Ending.ANSWERED),
+        (b"-1e3\n", Ending.ANSWERED),
+        (b"", Ending.MALFORMED),
+        (b"nan", Ending.MALFORMED),
+        (b"inf", Ending.MALFORMED),
+        (b"\xff\x00", Ending.MALFORMED),
+    ],
+)
 def test_a_total_that_is_no_number_is_a_spoilt_answer(body, ending):
     head = h11.Response(status_code=200, headers=[("Content-Length", str(len(body)))])
     assert counter_result(Message(head, body))[0] == ending
@@ -190,7 +208,7 @@
 
 def test_a_connection_that_never_comes_up_is_given_up():
     async def main():
-        with closing(socket.socket()) as full:     # a listener that takes nothing: its backlog fills
+        with closing(socket.socket()) as full:  # a listener that takes nothing: its backlog fills
             full.bind(("127.0.0.1", 0))
             full.listen(0)
             links, ended = [], None
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -1,4 +1,5 @@
 """The laboratory: the model against theory, the checker against policies that break each rule."""
+
 import math
 import random
 from dataclasses import replace
@@ -22,7 +23,7 @@
     random.Random(1).shuffle(planned)
     for kind, number in planned:
         loop.at(5, kind, came.append, (kind, number))
-    loop.at(7, Kind.FAULT, loop.at, 3, Kind.FAULT, lambda: came.append(loop.now))     # in the past: now
+    loop.at(7, Kind.FAULT, loop.at, 3, Kind.FAULT, lambda: came.append(loop.now))  # in the past: now
     loop.run(10)
     assert came[:-1] == sorted(planned, key=lambda row: (row[0], planned.index(row))) and came[-1] == 7
 
@@ -33,10 +34,22 @@
     Little's law."""
     work, waits, busy = 0.05, [], []
     for seed in range(8):
-        one = world(POLICIES["random"], seed, seconds=60, load=load, gateways=1, methods=[QUICK],
-                    plans=[{"name": "open", "customers": 20, "rate": 0, "gateways": 1}], servers__count=servers,
-                    servers__cores=cores, servers__waiting=100_000, clients__retries=0, links__handshake_ms=0,
-                    links__client_ms=0, links__server_ms=0)
+        one = world(
+            POLICIES["random"],
+            seed,
+            seconds=60,
+            load=load,
+            gateways=1,
+            methods=[QUICK],
+            plans=[{"name": "open", "customers": 20, "rate": 0, "gateways": 1}],
+            servers__count=servers,
+            servers__cores=cores,
+            servers__waiting=100_000,
+            clients__retries=0,
+            links__handshake_ms=0,
+            links__client_ms=0,
+            links__server_ms=0,
+        )
         result = one.run()
         assert result["sums"]["ok"] == result["sums"]["asked"] and not result["broken"]
         mean = one.tally.latency.get_mean_value() / SECOND
@@ -48,14 +61,23 @@
     expected = waited * work / (cores * (1 - load))
     mean, low, high = interval(waits)
     assert abs(mean - expected) < max(0.1 * expected, 0.01 * work) or low < expected < high
-    assert abs(sum(busy) / len(busy) - load) < 0.03      # Little: what is in service is arrivals times work
+    assert abs(sum(busy) / len(busy) - load) < 0.03  # Little: what is in service is arrivals times work
 
 
 def test_the_bucket_grants_its_bound_and_all_of_it():
     """A customer that asks for far more gets burst + rate x time, within two units, whichever gateway it asks."""
     for seed in range(3):
-        one = world(Brain, seed, seconds=20, gateways=3, load=0, probing=False, links__peer_loss=0, methods=[QUICK],
-                    plans=[{"name": "tight", "customers": 1, "rate": 2, "burst": 6, "demand": 20, "gateways": 3}])
+        one = world(
+            Brain,
+            seed,
+            seconds=20,
+            gateways=3,
+            load=0,
+            probing=False,
+            links__peer_loss=0,
+            methods=[QUICK],
+            plans=[{"name": "tight", "customers": 1, "rate": 2, "burst": 6, "demand": 20, "gateways": 3}],
+        )
         result = one.run()
         bound = 6 + 2 * 20
         granted = result["sums"]["ok"]
@@ -69,8 +91,15 @@
     for kind in dice.sample(files.FAULTS, 5):
         at = dice.uniform(0.5, 5)
         size = {"slow": 5, "fail_fast": 0.7, "lose_frames": 0.5, "late_lists": 3, "surge": 2}.get(kind, 0)
-        faults.append({"kind": kind, "at_s": at, "until_s": at + dice.uniform(0.5, 3), "share": dice.uniform(0.1, 0.6),
-                       "size": size})
+        faults.append(
+            {
+                "kind": kind,
+                "at_s": at,
+                "until_s": at + dice.uniform(0.5, 3),
+                "share": dice.uniform(0.1, 0.6),
+                "size": size,
+            }
+        )
     one = world(Brain, seed, seconds=8, zones=2, gateways=6, faults=faults)
     result = one.run()
     assert not result["broken"], result["lines"]
@@ -89,8 +118,11 @@
 def test_a_killed_gateway_leaves_no_timer_and_no_call_out_behind():
     one = world(Brain, 3, seconds=4, faults=[{"kind": "kill_gateways", "at_s": 2, "until_s": 60, "share": 1.0}])
     came = []
-    one.loop.at(SECOND + 2 * SECOND + 1, Kind.LOOK, lambda: [
-        setattr(gateway, "handle", lambda *event: came.append(event)) for gateway in one.gateways])
+    one.loop.at(
+        SECOND + 2 * SECOND + 1,
+        Kind.LOOK,
+        lambda: [setattr(gateway, "handle", lambda *event: came.append(event)) for gateway in one.gateways],
+    )
     result = one.run()
     assert not came and result["sums"]["no gateway"] > 0 and not result["broken"]
     assert all(server.held() == 0 for server in one.servers.values())
@@ -127,14 +159,32 @@
 REPLACED = [{"kind": "replace_servers", "at_s": 1, "until_s": 2, "share": 0.9}]
 
 
-@pytest.mark.parametrize("rule, broken, changes", [
-    ("silent", "answers", {}),
-    ("effects", "effects", {"methods": [ONCE]}),
-    ("drains", "drains", {"faults": REPLACED}),
-    ("cold", "cold servers", {"faults": REPLACED, "load": 0.8}),
-    ("none", "ceilings", {"plans": [{"name": "full", "customers": 3, "rate": 2, "burst": 3, "ceiling_rate": 3,
-                                     "ceiling_burst": 4, "demand": 5}]}),
-])
+@pytest.mark.parametrize(
+    "rule, broken, changes",
+    [
+        ("silent", "answers", {}),
+        ("effects", "effects", {"methods": [ONCE]}),
+        ("drains", "drains", {"faults": REPLACED}),
+        ("cold", "cold servers", {"faults": REPLACED, "load": 0.8}),
+        (
+            "none",
+            "ceilings",
+            {
+                "plans": [
+                    {
+                        "name": "full",
+                        "customers": 3,
+                        "rate": 2,
+                        "burst": 3,
+                        "ceiling_rate": 3,
+                        "ceiling_burst": 4,
+                        "demand": 5,
+                    }
+                ]
+            },
+        ),
+    ],
+)
 def test_a_policy_that_breaks_a_rule_is_caught(rule, broken, changes):
     result = world(lambda birth, now: Bad(birth, now, rule), seconds=6, **changes).run()
     assert result["broken"].get(broken), result["broken"]
@@ -155,6 +205,7 @@
 
 def _watched(one):
     from oakfork.lab.checker import Watched
+
     return Watched(one.plan.methods[0], 5, one.plan.plans[0], 0, 0, 1000)
 
 
@@ -171,8 +222,10 @@
 
 def test_baselines_do_what_they_are_named_for():
     changes = {"seconds": 4, "plans": [{"name": "p", "customers": 10, "rate": 1, "burst": 3, "demand": 4}], "load": 0.9}
-    beyond = {name: play(replace(files.checked(told(**changes)).runs[0], policy=name))["sums"].get(
-        "granted beyond quota", 0) for name in POLICIES}
+    beyond = {
+        name: play(replace(files.checked(told(**changes)).runs[0], policy=name))["sums"].get("granted beyond quota", 0)
+        for name in POLICIES
+    }
     assert beyond["two choices"] > 3 * beyond["central bucket"] and beyond["two choices"] > 3 * beyond["oakfork"]
     spread = {}
     for name in ("random", "round robin", "least outstanding"):
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -1,4 +1,5 @@
 """The shape of the repository: files that can be read at a sitting, packages without circles, one small module."""
+
 import ast
 import tomllib
 
--- a/tests/test_lease_machines.py
+++ b/tests/test_lease_machines.py
@@ -1,4 +1,5 @@
 """Leases under long random histories: more voters and contenders than a search can hold, clocks of any allowed rate."""
+
 from types import SimpleNamespace
 
 from hypothesis import settings, strategies as st
@@ -17,8 +18,9 @@
     """Messages may be lost (never drawn), late, doubled and out of order: each that was said can be drawn at any
     time."""
 
-    @initialize(rates=st.lists(st.integers(900, 1_100), min_size=VOTERS + CONTENDERS + 1,
-                               max_size=VOTERS + CONTENDERS + 1))
+    @initialize(
+        rates=st.lists(st.integers(900, 1_100), min_size=VOTERS + CONTENDERS + 1, max_size=VOTERS + CONTENDERS + 1)
+    )
     def start(self, rates):
         self.now, self.rates, self.lives, self.floor = 1_000_000, rates, 0, 0
         self.votes = [voter.Vote(0, 0) for _ in range(VOTERS)]
@@ -26,7 +28,7 @@
         self.guard = fence.Fence(1)
         self.views = {}
         self.said, self.acts = [], []
-        self.terms = {}     # term -> life that held it
+        self.terms = {}  # term -> life that held it
         self.held = 0
 
     def fresh(self, me):
@@ -85,7 +87,7 @@
 
     @rule(number=st.integers(0, VOTERS - 1))
     def a_voter_restarts(self, number):
-        self.floor = max([self.floor, *self.terms]) + 1     # the time of day has gone on
+        self.floor = max([self.floor, *self.terms]) + 1  # the time of day has gone on
         self.votes[number] = voter.started(self.clock(number), LENGTHS, self.floor)
 
     @rule(me=st.integers(0, CONTENDERS - 1))
@@ -107,8 +109,9 @@
         self.ones[me], end = holder.acts(self.ones[me], self.mine(me), LENGTHS)
         if end and me in self.views:
             view = self.views[me]
-            self.acts.append(SimpleNamespace(me=me, life=view.life, term=self.ones[me].term,
-                                             end=fence.end_there(view, end, LENGTHS)))
+            self.acts.append(
+                SimpleNamespace(me=me, life=view.life, term=self.ones[me].term, end=fence.end_there(view, end, LENGTHS))
+            )
 
     @rule(which=st.integers(0, 1 << 30))
     def an_act_arrives(self, which):
--- a/tests/test_lease_model.py
+++ b/tests/test_lease_model.py
@@ -1,4 +1,5 @@
 """Leases in simulated time."""
+
 import pytest
 
 from oakfork.lab.leasemodel import Fleet
@@ -24,4 +25,4 @@
         while not fleet.holding():
             fleet.loop.run(fleet.loop.now + 100)
         firsts.append((fleet.loop.now - 1_000_000) / 10_000)
-    assert max(firsts) < 3.0 and sorted(firsts)[6] < 1.0      # seconds; a lease lasts three
+    assert max(firsts) < 3.0 and sorted(firsts)[6] < 1.0  # seconds; a lease lasts three
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -1,4 +1,5 @@
 """Leases: every interleaving of a few, and broken variants of the rules, each of which has to be found out."""
+
 import pytest
 from leasesearch import ACT, Broken, Search
 
@@ -81,8 +82,12 @@
     (no_margin_for_drift, "asked", dict(ticks=5, step=2), TWO),
     (a_vote_given_twice, "asked", dict(), TWO),
     (late_grants_count, "granted", dict(voters=1, wakes=3, all_answers=True), TWO),
-    (grants_to_an_earlier_life_count, "granted",
-     dict(voters=1, restarts=1, wakes=3, ticks=5, step=2, all_answers=True, head=1000), "held after term"),
+    (
+        grants_to_an_earlier_life_count,
+        "granted",
+        dict(voters=1, restarts=1, wakes=3, ticks=5, step=2, all_answers=True, head=1000),
+        "held after term",
+    ),
     (any_release_frees, "released", dict(voters=1, wakes=4), TWO),
     (older_terms_get_votes, "asked", dict(voters=1, ticks=5, step=4), "is held after term"),
     (no_end_at_the_fence, "judge", dict(voters=1, acts=1, ticks=5, step=4), ACTS),
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -1,4 +1,5 @@
 """SIGTERM under load."""
+
 import http.client
 import random
 import signal
@@ -21,7 +22,7 @@
         time.sleep(0.1)
         w.process.send_signal(signal.SIGTERM)
         time.sleep(0.1)
-        assert idle.sock.recv(1) == b""     # idle ones close, new ones are still taken
+        assert idle.sock.recv(1) == b""  # idle ones close, new ones are still taken
         late = connection(w.at)
         assert rpc(w.at, path="/-/ready", link=late)[0] == 503
         assert rpc(w.at)[0] == 200
@@ -34,6 +35,7 @@
 
 def test_what_comes_after_sigterm_on_an_empty_gateway_is_answered(world):
     """No connection was open for a moment; a new one brings an RPC that takes longer than new ones are taken."""
+
     def slow(handler, body):
         time.sleep(1.0)
         echo(handler, body)
@@ -48,6 +50,7 @@
 def test_clients_lose_nothing_when_the_gateway_leaves(world):
     """Clients keep their connections, send once more on a new one where closing crossed a request, and are sent
     elsewhere 0.4 s after SIGTERM, as the protocol has it."""
+
     def quick(handler, body):
         time.sleep(0.01)
         echo(handler, body)
@@ -66,7 +69,7 @@
         link, chance = connection(w.at), random.Random(number)
         while link and (not ended or time.monotonic() < ended[0] + 0.4):
             link = ask(link, True)
-            if link and link.sock is None:      # the answer was the connection's last
+            if link and link.sock is None:  # the answer was the connection's last
                 link = connection(w.at)
             time.sleep(chance.random() * 0.02)
 
@@ -87,6 +90,7 @@
 def test_clients_send_on_up_to_sigkill_and_lose_nothing(world):
     """Clients send on each connection for as long as it stays open, up to SIGKILL: the longest deadline and 0.7 s after
     SIGTERM. Nothing taken is left without its answer, and hardly a request meets a close with none."""
+
     def uneven(handler, body):
         time.sleep(0.6 if random.random() < 0.04 else 0.01)
         echo(handler, body)
@@ -104,7 +108,7 @@
                 closed.append(time.monotonic() - ended[0] if ended else -1.0)
                 link = connection(w.at)
             if link.sock is None and ended and time.monotonic() > ended[0] + 0.4:
-                return      # the answer was the connection's last, and its front sends no new ones any more
+                return  # the answer was the connection's last, and its front sends no new ones any more
             time.sleep(0.002)
 
     answers, closed, ended, sent, killed = [], [], [], [0], threading.Event()
@@ -115,7 +119,7 @@
         time.sleep(1.5)
         ended.append(time.monotonic())
         w.process.send_signal(signal.SIGTERM)
-        assert w.process.wait(2.7) == 0     # before SIGKILL would come
+        assert w.process.wait(2.7) == 0  # before SIGKILL would come
         killed.set()
         for thread in threads:
             thread.join()
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -1,4 +1,5 @@
 """Frames between gateways: lives, greetings, readings, what is not understood."""
+
 import heapq
 import random
 
@@ -16,19 +17,19 @@
     good = wire.pack(9, 0, 1, 0, [wire.pack_item(wire.Ask(1, 5, 0, 1.0))])
     for bad in (b"", good[:-1], b"\x07" + good[1:], good + b"\xff", good * 20):
         brain.handle(10, face.PeerFrame(0, bad))
-    brain.handle(10, face.PeerFrame(7, good))                       # no such gateway
+    brain.handle(10, face.PeerFrame(7, good))  # no such gateway
     assert not brain.quotas.buckets
-    for _ in range(3):                                              # doubled: taken once
+    for _ in range(3):  # doubled: taken once
         brain.handle(20, face.PeerFrame(0, good))
     assert brain.quotas.buckets[5, 0].tokens == pytest.approx(PLANS[0].burst - 1)
     brain.handle(25, face.PeerFrame(0, wire.pack(9, 0, 3, 0, [])))
-    brain.handle(25, face.PeerFrame(0, good))                       # and not after a later one either
+    brain.handle(25, face.PeerFrame(0, good))  # and not after a later one either
     assert brain.quotas.buckets[5, 0].tokens == pytest.approx(PLANS[0].burst - 1, abs=0.01)
     brain.handle(30, face.PeerFrame(0, wire.pack(9, 1, 2, 0, [wire.pack_item(wire.Return(5, 0, 1.0))])))
-    assert brain.quotas.buckets[5, 0].tokens == pytest.approx(PLANS[0].burst - 1, abs=0.01)     # for an earlier life
+    assert brain.quotas.buckets[5, 0].tokens == pytest.approx(PLANS[0].burst - 1, abs=0.01)  # for an earlier life
 
     brain.handle(40, face.PeerFrame(0, wire.pack(10, 0, 1, 0, [wire.pack_item(wire.Ask(1, 6, 0, 1.0))])))
-    assert (6, 0) in brain.quotas.buckets                                  # a new life counts its frames anew
+    assert (6, 0) in brain.quotas.buckets  # a new life counts its frames anew
 
 
 def test_a_stale_backlog_is_skipped():
@@ -42,7 +43,7 @@
     brain, customer = gateway(0, 200), owned_by(1, 200)
     assert (quick := brain.links.peers[1].rate) > 10 * brain.links.even
     brain.handle(0, arrival(1, customer, spread=200))
-    frame_of(brain.handle(1, face.TimeCame(0)))     # at once, though a hundred and ninety-nine others could write too
+    frame_of(brain.handle(1, face.TimeCame(0)))  # at once, though a hundred and ninety-nine others could write too
     brain.handle(METHODS[0].soft_deadline // 10, face.TimeCame(0))
     assert brain.links.peers[1].rate == quick / 2
 
@@ -65,11 +66,22 @@
     return brains[0]
 
 
-@pytest.mark.parametrize("gateways, down, again, full", [
-    (40, 0, 0, True), (40, 2, 0, True), (40, 4, 0, False), (40, 0, 4, False), (4, 0, 0, True), (4, 1, 0, False),
-    (120, 0, 0, True), (120, 0, 12, False)])
+@pytest.mark.parametrize(
+    "gateways, down, again, full",
+    [
+        (40, 0, 0, True),
+        (40, 2, 0, True),
+        (40, 4, 0, False),
+        (40, 0, 4, False),
+        (4, 0, 0, True),
+        (4, 1, 0, False),
+        (120, 0, 0, True),
+        (120, 0, 12, False),
+    ],
+)
 def test_a_first_life_is_known_soon_though_some_never_write_and_a_second_is_told_by_who_is_left(
-        gateways, down, again, full):
+    gateways, down, again, full
+):
     """Guards against buckets under a ceiling that begin empty all day in a large tier: no other wrote to each."""
     brain = _greeted(gateways, down, again)
     mine = next(c for c in range(9999) if brain.quotas.owner(arrival(1, c, spread=gateways))[0] == 0)
@@ -94,7 +106,7 @@
     first, second = (gateway(index, 40, servers=2, probing=True, probe_price=0.08) for index in (0, 1))
     for brain in (first, second):
         brain.servers.trouble = 0.5
-    told_of(first, 20_000)     # the other understands readings
+    told_of(first, 20_000)  # the other understands readings
     probed = [c.server for c in first.handle(30_000, arrival(1, 1)) if isinstance(c, face.Probe)]
     for server, took in zip(probed, (9, 90), strict=True):
         first.handle(30_009, face.ProbeEnded(server, Status.OK, took, ()))
@@ -106,22 +118,23 @@
     readings = [item for item in told.items if isinstance(item, wire.Reading)]
     assert [reading.seen for reading in readings] == [0, 81] and isinstance(told.items[0], wire.Ask)
     told_of(second, 30_200, *readings)
-    sent = second.handle(30_300, arrival(1, 1, first=1))     # no probe, no wait: the less pressed one
+    sent = second.handle(30_300, arrival(1, 1, first=1))  # no probe, no wait: the less pressed one
     assert [c.server for c in sent if isinstance(c, face.Send)] == [probed[0]] and face.Probe not in kinds(sent)
     second.handle(30_900, ended(1, 0, probed[0]))
     second.servers.trouble = 0.5
     asked = second.handle(41_000, arrival(2, 2, first=1))
-    assert kinds(asked).count(face.Probe) == 2      # it is believed for a second
-    told_of(second, 42_000, wire.Reading(12345, 7, 0), number=2)   # of no server that this one knows
-    assert kinds(second.handle(42_000, arrival(3, 3, first=1))).count(face.Probe) == 0      # asked already, and awaited
+    assert kinds(asked).count(face.Probe) == 2  # it is believed for a second
+    told_of(second, 42_000, wire.Reading(12345, 7, 0), number=2)  # of no server that this one knows
+    assert kinds(second.handle(42_000, arrival(3, 3, first=1))).count(face.Probe) == 0  # asked already, and awaited
     late = [wire.Reading(reading.mark, 7, 25_500) for reading in readings]
     before = [server.seen_at for server in second.servers.all.values()]
-    told_of(second, 42_500, *late, number=3)       # older than what it has
+    told_of(second, 42_500, *late, number=3)  # older than what it has
     assert [server.seen_at for server in second.servers.all.values()] == before
 
 
-@pytest.mark.parametrize("version, price, rides", [(wire.VERSION, 0.08, 2), (wire.OLDEST, 0.08, 0), (0, 0.08, 0),
-                                                   (wire.VERSION, 0.01, 0)])
+@pytest.mark.parametrize(
+    "version, price, rides", [(wire.VERSION, 0.08, 2), (wire.OLDEST, 0.08, 0), (0, 0.08, 0), (wire.VERSION, 0.01, 0)]
+)
 def test_readings_go_only_to_those_who_understand_them_and_where_looks_are_dear(version, price, rides):
     brain, customer = gateway(0, 40, servers=3, probing=True, probe_price=price), owned_by(1, 40)
     if version:
@@ -135,19 +148,25 @@
 
 
 def test_readings_are_bounded_and_frames_that_are_not_understood_are_counted():
-    reading = wire.Reading(0xFFFFFFFF, 10 ** 9, 10 ** 9)
+    reading = wire.Reading(0xFFFFFFFF, 10**9, 10**9)
     packed = wire.pack_item(reading)
     good = wire.pack(9, 0, 1, 0, [packed], version=wire.VERSION)
     assert wire.unpack(good).items == (wire.Reading(0xFFFFFFFF, 0xFFFF, 0xFF * wire.PAUSE),)
     queue = wire.deque([b"x" * 15] * 16)
     assert len(b"".join(wire.fill(queue, [packed] * 9))) <= wire.LARGEST - wire.HEADER.size
-    assert not wire.fill(wire.deque([b"x" * 15] * 40), [packed])[16:]      # what waits goes first
+    assert not wire.fill(wire.deque([b"x" * 15] * 40), [packed])[16:]  # what waits goes first
     brain = gateway(0, 2)
-    bad = [good[:-1], wire.pack(9, 0, 1, 0, [packed], version=wire.OLDEST), wire.pack(9, 0, 1, 0, [], version=4),
-           good + b"\x05", b"", good * 30]
+    bad = [
+        good[:-1],
+        wire.pack(9, 0, 1, 0, [packed], version=wire.OLDEST),
+        wire.pack(9, 0, 1, 0, [], version=4),
+        good + b"\x05",
+        b"",
+        good * 30,
+    ]
     notes = [c for data in bad for c in brain.handle(10, face.PeerFrame(1, data)) if isinstance(c, face.Note)]
-    assert brain.links.strange == len(bad) and len(notes) == 3       # at 1, 2 and 4
-    for old in (wire.OLDEST, wire.VERSION):     # frames of the older kind are understood
+    assert brain.links.strange == len(bad) and len(notes) == 3  # at 1, 2 and 4
+    for old in (wire.OLDEST, wire.VERSION):  # frames of the older kind are understood
         ask = wire.pack_item(wire.Ask(old, 5, 0, 1.0))
         brain.handle(20, face.PeerFrame(1, wire.pack(9, 0, old, 0, [ask], version=old)))
     assert brain.quotas.buckets[5, 0].tokens == pytest.approx(PLANS[0].burst - 2, abs=0.01)
--- a/tests/test_list_changes.py
+++ b/tests/test_list_changes.py
@@ -1,4 +1,5 @@
 """A change of the server list: it costs what it names, and decides what going through the whole list would."""
+
 import random
 import sys
 
@@ -20,7 +21,7 @@
 
     def told(self, event: face.ServerList) -> None:
         desk = self.desk
-        if self.birth.asks_list and (event.failed or not self.all):     # on a failure, and at the start
+        if self.birth.asks_list and (event.failed or not self.all):  # on a failure, and at the start
             # Guards against an overbooked discovery: two seconds at the start, then pauses that double.
             pause, first = self.list_pause * event.failed, 2 * SECOND if event.entries else 1
             at = desk.now + pause // 2 + desk.random(pause or first)
@@ -31,17 +32,27 @@
         self.list_pause = self.longest_pause // 3
         for entry in event.entries:
             server = self.all.get(entry.server)
-            if server is None or entry.up_since != server.entry.up_since:   # another process: all is new
+            if server is None or entry.up_since != server.entry.up_since:  # another process: all is new
                 server = self.all[entry.server] = Server(entry, server.open if server else {}, since=desk.now)
             server.entry, server.mark = entry, (entry.true_id * 0x9E3779B97F4A7C15 & MASK) >> 32
             self.marks[server.mark] = entry.server
         for index in event.complete and self.all.keys() - {entry.server for entry in event.entries} or ():
             self.all[index].entry = self.all[index].entry._replace(state=State.GONE)
-        desk.commands += [face.Recall(*key) for server in self.all.values() for key, at in server.open.items()
-                          if server.entry.state != State.READY or at < server.since]
-        for index in [i for i, gone in self.all.items() if gone.entry.state == State.GONE and not gone.open
-                      and i not in self.looks and desk.now > max(gone.sent_at, gone.since) + self.longest]:
-            self.marks.pop(self.all.pop(index).mark, None)      # no RPC can speak of it any more
+        desk.commands += [
+            face.Recall(*key)
+            for server in self.all.values()
+            for key, at in server.open.items()
+            if server.entry.state != State.READY or at < server.since
+        ]
+        for index in [
+            i
+            for i, gone in self.all.items()
+            if gone.entry.state == State.GONE
+            and not gone.open
+            and i not in self.looks
+            and desk.now > max(gone.sent_at, gone.since) + self.longest
+        ]:
+            self.marks.pop(self.all.pop(index).mark, None)  # no RPC can speak of it any more
             desk.commands.append(face.Forget(index))
         ready = [index for index, server in sorted(self.all.items()) if server.entry.state == State.READY]
         self.ready, size, self.among = ready, len(ready), self.birth.gateways
@@ -49,11 +60,11 @@
             # Guards against connections and looks from each to each: it keeps to sixteen, shared by chance.
             ready.sort(key=lambda index: self.all[index].mark)
             self.place, each = size * self.birth.index // self.among, 16 * self.among / size
-            ready, self.among = self._row(self.place), min(self.among, int(each + each ** 0.5) + 1)
+            ready, self.among = self._row(self.place), min(self.among, int(each + each**0.5) + 1)
         mine = set(ready)
         for index, server in self.all.items():
             if index in mine and not server.mine and (pause := self.pause(server)):
-                server.sent_at = desk.now - desk.random(pause)      # or all would send to it at once
+                server.sent_at = desk.now - desk.random(pause)  # or all would send to it at once
             server.mine = index in mine
 
 
@@ -65,8 +76,21 @@
 
 def view(brain: Brain):
     """All that a list teaches: the table in its order, with each server as it is judged, and what is drawn from it."""
-    table = [(index, server.entry, server.mark, server.mine, server.since, server.sent_at, server.heard, server.limit,
-              server.seen_at, dict(server.open)) for index, server in brain.servers.all.items()]
+    table = [
+        (
+            index,
+            server.entry,
+            server.mark,
+            server.mine,
+            server.since,
+            server.sent_at,
+            server.heard,
+            server.limit,
+            server.seen_at,
+            dict(server.open),
+        )
+        for index, server in brain.servers.all.items()
+    ]
     servers = brain.servers
     return table, servers.ready, servers.marks, servers.among, servers.list_pause, brain.desk.chance
 
@@ -76,11 +100,19 @@
 
     def __init__(self, seed: int, size: int, price: float, gateways: int) -> None:
         self.dice, self.size, self.now, self.rpcs = random.Random(seed), size, START, 0
-        told = birth(self.dice.randrange(gateways), gateways, self.dice.getrandbits(64), connection_price=price,
-                     idle_time=15 * SECOND, probing=self.dice.random() < 0.5, asks_list=self.dice.random() < 0.3,
-                     cold_time=self.dice.choice((6, 30)) * SECOND, probe_price=self.dice.choice((0.0, 0.08)))
+        told = birth(
+            self.dice.randrange(gateways),
+            gateways,
+            self.dice.getrandbits(64),
+            connection_price=price,
+            idle_time=15 * SECOND,
+            probing=self.dice.random() < 0.5,
+            asks_list=self.dice.random() < 0.3,
+            cold_time=self.dice.choice((6, 30)) * SECOND,
+            probe_price=self.dice.choice((0.0, 0.08)),
+        )
         self.brains = Brain(told, START), plain(told, START)
-        self.due = []           # events that answer commands, by time
+        self.due = []  # events that answer commands, by time
         self.met = dict.fromkeys(("recall", "forget", "cold", "few", "many", "grown", "shrunk", "failed", "again"), 0)
         self.give(face.ServerList(True, False, tuple(listed(server) for server in range(size))))
 
@@ -93,8 +125,15 @@
                 case face.Send(rpc, server):
                     number = max(self.brains[1].rpcs[rpc].out)
                     status = self.dice.choice((Status.OK,) * 6 + (Status.ERROR, Status.FULL, Status.TIMED_OUT))
-                    self.due.append((later, len(self.due), face.CallOutEnded(
-                        rpc, number, server, later - self.now, status, status == Status.OK, 0.0, ())))
+                    self.due.append(
+                        (
+                            later,
+                            len(self.due),
+                            face.CallOutEnded(
+                                rpc, number, server, later - self.now, status, status == Status.OK, 0.0, ()
+                            ),
+                        )
+                    )
                 case face.Probe(server):
                     took = self.dice.randint(5, 900)
                     self.due.append((self.now + took, len(self.due), face.ProbeEnded(server, Status.OK, took, ())))
@@ -152,7 +191,7 @@
     def step(self) -> None:
         dice = self.dice
         self.pass_time(self.now + dice.choice((1, 40, 400, 400, 4_000, 30_000)))
-        for _ in range(dice.randint(0, 6)):     # of methods whose retries ask nothing of the first server
+        for _ in range(dice.randint(0, 6)):  # of methods whose retries ask nothing of the first server
             self.rpcs += 1
             self.give(face.Arrival(self.rpcs, self.rpcs, dice.choice((0, 3)), 0, 1.0, 0, 1, 20_000, False))
         if dice.random() < 0.2 and self.brains[1].rpcs:
@@ -241,8 +280,13 @@
     brain.handle(START, face.ServerList(True, False, tuple(listed(server) for server in range(400))))
     costs = []
     for _ in range(2):
-        costs.append(instructions(brain, START + 9, *(face.ServerList(False, False, (listed(50, state),))
-                                                      for state in (State.DRAINING, State.READY))))
+        costs.append(
+            instructions(
+                brain,
+                START + 9,
+                *(face.ServerList(False, False, (listed(50, state),)) for state in (State.DRAINING, State.READY)),
+            )
+        )
         for server in range(400):
             brain.servers.all[server].open[1, server] = START
             for state in (State.DRAINING, State.READY):
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -1,4 +1,5 @@
 """Open-loop load on the real program."""
+
 import pytest
 import trio
 from standins import settings
@@ -9,6 +10,7 @@
 
 def test_latency_counts_from_the_time_meant(tmp_path):
     """A server that stops for half a second: an open loop sees it in many RPCs, not in one."""
+
     async def act():
         server = ServerStandIn(Work(mean=0.001, cores=50))
         gone = trio.Event()
--- a/tests/test_module_machine.py
+++ b/tests/test_module_machine.py
@@ -1,4 +1,5 @@
 """The decision module under drawn settings and drawn acts, the five rules checked by the world after every step."""
+
 import pytest
 from hypothesis import HealthCheck, settings, strategies as st
 from hypothesis.stateful import (
@@ -24,32 +25,67 @@
     made = []
     for repeat in draw(st.lists(st.sampled_from(list(Repeat)), min_size=1, max_size=4)):
         soft, deadline = draw(DEADLINES)
-        made.append(Method(soft, deadline, repeat, draw(st.sampled_from(("all", "zone", "cell"))),
-                           draw(st.sampled_from((0, 2_000, 4_000, 15_000, 60_000))), 1.0, 0.0, False))
+        made.append(
+            Method(
+                soft,
+                deadline,
+                repeat,
+                draw(st.sampled_from(("all", "zone", "cell"))),
+                draw(st.sampled_from((0, 2_000, 4_000, 15_000, 60_000))),
+                1.0,
+                0.0,
+                False,
+            )
+        )
     return tuple(made)
 
 
 class Tier(RuleBasedStateMachine):
     """Three gateways and six servers. Connections come up at once, or up to a second and a half later."""
 
-    @initialize(methods=methods(), cancel=st.booleans(), probing=st.booleans(), copies=st.booleans(),
-                asks_list=st.booleans(), most=st.integers(1, 6), seed=st.integers(0, 1 << 60),
-                late=st.sampled_from([(0, 4_000, 15_000), (0, 300), (0,)]))
+    @initialize(
+        methods=methods(),
+        cancel=st.booleans(),
+        probing=st.booleans(),
+        copies=st.booleans(),
+        asks_list=st.booleans(),
+        most=st.integers(1, 6),
+        seed=st.integers(0, 1 << 60),
+        late=st.sampled_from([(0, 4_000, 15_000), (0, 300), (0,)]),
+    )
     def begin(self, methods, cancel, probing, copies, asks_list, most, late, seed):
-        self.world = World(seed, 3, 6, probing=probing, methods=methods, cancel=cancel, second_copies=copies,
-                           asks_list=asks_list, max_call_outs=most)
+        self.world = World(
+            seed,
+            3,
+            6,
+            probing=probing,
+            methods=methods,
+            cancel=cancel,
+            second_copies=copies,
+            asks_list=asks_list,
+            max_call_outs=most,
+        )
         self.world.late = late
 
-    @rule(customer=st.integers(0, 11), method=st.integers(0, 3), gateway=st.integers(0, 2),
-          share=st.sampled_from((1.0, 0.4, 0.02)), number=st.integers(1, 6))
+    @rule(
+        customer=st.integers(0, 11),
+        method=st.integers(0, 3),
+        gateway=st.integers(0, 2),
+        share=st.sampled_from((1.0, 0.4, 0.02)),
+        number=st.integers(1, 6),
+    )
     def ask(self, customer, method, gateway, share, number):
         world = self.world
         for more in range(3 * number):
             world.next_rpc += 1
             which, who = (method + more) % len(world.methods), (customer + more) % 12
-            world.give(gateway, arrival(world.next_rpc, who, which, who % len(PLANS), 1.0, 0, 3,
-                                        int(world.methods[which].deadline * share)))
-        self.time_goes_on(400)      # an owner has answered by then
+            world.give(
+                gateway,
+                arrival(
+                    world.next_rpc, who, which, who % len(PLANS), 1.0, 0, 3, int(world.methods[which].deadline * share)
+                ),
+            )
+        self.time_goes_on(400)  # an owner has answered by then
 
     @rule(after=st.sampled_from((1, 40, 500, 3_000, 12_000, 60_000)))
     def time_goes_on(self, after):
@@ -70,11 +106,19 @@
     def a_gateway_restarts(self, gateway):
         self.world.launch(gateway)
 
-    @rule(server=st.integers(0, 5), state=st.sampled_from((State.DRAINING, State.GONE, State.READY)),
-          fresh=st.booleans(), told=st.sets(st.integers(0, 2), min_size=1))
+    @rule(
+        server=st.integers(0, 5),
+        state=st.sampled_from((State.DRAINING, State.GONE, State.READY)),
+        fresh=st.booleans(),
+        told=st.sets(st.integers(0, 2), min_size=1),
+    )
     def a_server_changes(self, server, state, fresh, told):
-        connecting = [where for known in self.world.rpcs.values() for number, where in known["out"].items()
-                      if number not in known["maybe"]]
+        connecting = [
+            where
+            for known in self.world.rpcs.values()
+            for number, where in known["out"].items()
+            if number not in known["maybe"]
+        ]
         server = connecting[server % len(connecting)] if connecting else server
         for gateway in told:
             self.world.give(gateway, face.ServerList(False, False, (entry(server, state, self.world.now * fresh),)))
@@ -109,16 +153,22 @@
         assert not any(brain.rpcs for brain in self.world.brains)
 
 
-Tier.TestCase.settings = settings(max_examples=40, stateful_step_count=40, deadline=None, derandomize=True,
-                                  suppress_health_check=list(HealthCheck))
+Tier.TestCase.settings = settings(
+    max_examples=40, stateful_step_count=40, deadline=None, derandomize=True, suppress_health_check=list(HealthCheck)
+)
 test_the_rules_hold_under_drawn_settings = Tier.TestCase
 
 
-@pytest.mark.parametrize("broken", [
-    lambda commands: [c for c in commands if not isinstance(c, face.Recall)],
-    lambda commands: [c._replace(written_by=0) if isinstance(c, face.Send) else c for c in commands]])
+@pytest.mark.parametrize(
+    "broken",
+    [
+        lambda commands: [c for c in commands if not isinstance(c, face.Recall)],
+        lambda commands: [c._replace(written_by=0) if isinstance(c, face.Send) else c for c in commands],
+    ],
+)
 def test_the_world_finds_modules_that_do_not_look_again(monkeypatch, broken):
     """A checker that can't fail proves nothing: without a recall, or without an end of the window, it finds a fault."""
+
     def play(seed):
         short = Method(8_000, 30_000, Repeat.DEDUPLICATED, "all", 4_000, 1.0, 0.0, False)
         world = World(seed, 3, 6, probing=True, methods=(short, short), cancel=False)
@@ -140,7 +190,7 @@
     brain = Brain(birth(), 0)
     brain.handle(0, face.ServerList(True, False, (entry(0), entry(1))))
     kinds = []
-    for rpc, plan in enumerate([0] * 9 + [1] + [2] * 4):        # plan 0 holds eight, plan 2 three at once
+    for rpc, plan in enumerate([0] * 9 + [1] + [2] * 4):  # plan 0 holds eight, plan 2 three at once
         commands = brain.handle(SECOND + rpc, arrival(rpc, 7, plan=plan))
         kinds.append("ok" if any(isinstance(c, face.Send) for c in commands) else "pushed back")
     assert kinds == ["ok"] * 8 + ["pushed back"] + ["ok"] + ["ok"] * 3 + ["pushed back"]
--- a/tests/test_page_clients.py
+++ b/tests/test_page_clients.py
@@ -1,4 +1,5 @@
 """The clients' side of the page's final form: kills, forms and pieces of messages, and that no request is left."""
+
 import json
 import os
 import random
@@ -85,6 +86,7 @@
 def test_what_a_gateway_killed_after_an_accept_had_runs_once_at_most_and_a_second_life_serves_at_once(tmp_path):
     """Killed with requests sent on, accepted and hardly read, accepted by its machine only. The other gateway, which
     shares all customers with it, serves on; the second life takes the address with the ends of connections on it."""
+
     def act(handler, body):
         if handler.headers["X-Txn"] in ("sent-on", "keyed"):
             release.wait(20)
@@ -99,19 +101,31 @@
     server, release = StandIn(act), threading.Event()
     rows = [entry(0, server.address)]
     discovery, peers = Discovery(rows), [free_port(socket.SOCK_DGRAM) for _ in range(2)]
-    both = [told(discovery.address, rows, name=f"n{i}", peers=peers, peer_listen=peers[i], seed=f"{i + 1:x}",
-                 settings=settings(2, i, aim=4000.0)) for i in range(2)]
+    both = [
+        told(
+            discovery.address,
+            rows,
+            name=f"n{i}",
+            peers=peers,
+            peer_listen=peers[i],
+            seed=f"{i + 1:x}",
+            settings=settings(2, i, aim=4000.0),
+        )
+        for i in range(2)
+    ]
     at, other = (configured["listen"] for configured in both)
     with started(tmp_path, both[1]):
         with first_life(tmp_path, both[0]) as process:
             assert until(lambda: ready(at))
             with closing(opened(at, request_bytes(**{"X-Lane": "nothing"}))) as ended:
-                assert ended.recv(4096).startswith(b"HTTP/1.1 400")     # ended by the gateway: its address stays taken
-            waiting = [opened(at, posted("sent-on", "hand")),
-                       opened(at, posted("keyed", "seal", **{"Idempotency-Key": "k"}))]
+                assert ended.recv(4096).startswith(b"HTTP/1.1 400")  # ended by the gateway: its address stays taken
+            waiting = [
+                opened(at, posted("sent-on", "hand")),
+                opened(at, posted("keyed", "seal", **{"Idempotency-Key": "k"})),
+            ]
             assert until(lambda: ran("sent-on") and ran("keyed"))
             waiting.append(opened(at, posted("accepted", "hand")[:-2]))
-            assert ready(at)        # taken in after it
+            assert ready(at)  # taken in after it
             waiting[-1].sendall(b"\r\n")
             process.send_signal(signal.SIGSTOP)
             waiting.append(opened(at, posted("backlog", "hand")))
@@ -154,7 +168,7 @@
 def chunked(body, sizes, extension=b"", trailer=b""):
     told, at = b"", 0
     for size in sizes:
-        piece, at = body[at:at + size], at + size
+        piece, at = body[at : at + size], at + size
         told += b"%X%b\r\n%b\r\n" % (len(piece), extension, piece) if piece else b""
     return told + b"0%b\r\n%b\r\n" % (extension, trailer)
 
@@ -163,26 +177,43 @@
     """All forms after which the connection stays open, and those that end it."""
     body, large = bytes(range(256)), bytes(range(256)) * 256
     length, chunks = [f"Content-Length: {len(body)}"], ["Transfer-Encoding: chunked"]
-    kept = [form(f"{number:x}", *told) for number, told in enumerate((
-        ("GET",), ("GET", "read", ["Content-Length: 0"]), ("GET", "read", ["X-Call-Terms: first=0, spread=1, units=1"]),
-        ("GET", "read", [f"X-Other-{number}: {number}" for number in range(150)]),
-        ("POST", "seal", length, body), ("POST", "hand", length, body), ("POST", "hand", ["Content-Length: 0"]),
-        ("POST", "hand", [*length, "Expect: 100-continue"], body), ("GET", "read", ["X-Resent: 1"]),
-        ("GET", "read", (), b"", "1.1", f"/api?a=%20&client={CUSTOMER.upper()}&b=c"),
-        ("GET", "read", (), b"", "1.1", f"http://app.svc/api?client={CUSTOMER}")))]
+    kept = [
+        form(f"{number:x}", *told)
+        for number, told in enumerate(
+            (
+                ("GET",),
+                ("GET", "read", ["Content-Length: 0"]),
+                ("GET", "read", ["X-Call-Terms: first=0, spread=1, units=1"]),
+                ("GET", "read", [f"X-Other-{number}: {number}" for number in range(150)]),
+                ("POST", "seal", length, body),
+                ("POST", "hand", length, body),
+                ("POST", "hand", ["Content-Length: 0"]),
+                ("POST", "hand", [*length, "Expect: 100-continue"], body),
+                ("GET", "read", ["X-Resent: 1"]),
+                ("GET", "read", (), b"", "1.1", f"/api?a=%20&client={CUSTOMER.upper()}&b=c"),
+                ("GET", "read", (), b"", "1.1", f"http://app.svc/api?client={CUSTOMER}"),
+            )
+        )
+    ]
     plain, wanted = form("20")
     kept += [(cased(plain, bytes.upper), wanted)]
     plain, wanted = form("21", "POST", "hand", length, body)
     kept += [(cased(plain, bytes.lower), wanted)]
     plain, wanted = form("22")
-    kept += [(plain.replace(b": read", b":\t  read \t"), wanted), ]
-    for number, (sizes, more) in enumerate((((256,), {}), ([1] * 256, {}), (
-            (200, 56), {"extension": b";a=b", "trailer": b"X-Sum: 1\r\n"}))):
+    kept += [
+        (plain.replace(b": read", b":\t  read \t"), wanted),
+    ]
+    for number, (sizes, more) in enumerate(
+        (((256,), {}), ([1] * 256, {}), ((200, 56), {"extension": b";a=b", "trailer": b"X-Sum: 1\r\n"}))
+    ):
         head, wanted = form(f"3{number}", "POST", "seal", chunks)
         kept.append((head + chunked(body, sizes, **more), (*wanted[:3], body)))
-    last = [form("40", version="1.0"), form("41", lines=["Connection: close"]),
-            form("42", "POST", "hand", [*length, "connection: CLOSE"], body),
-            form("43", "POST", "hand", [f"Content-Length: {LARGEST_BODY}"], large)]
+    last = [
+        form("40", version="1.0"),
+        form("41", lines=["Connection: close"]),
+        form("42", "POST", "hand", [*length, "connection: CLOSE"], body),
+        form("43", "POST", "hand", [f"Content-Length: {LARGEST_BODY}"], large),
+    ]
     return kept, last
 
 
@@ -200,8 +231,11 @@
     if cut == "whole":
         return [data]
     if cut == "bytes":
-        return [data[at:at + 1] for at in range(len(data))] if len(data) < 3000 else [
-            data[at:at + 900] for at in range(0, len(data), 900)]
+        return (
+            [data[at : at + 1] for at in range(len(data))]
+            if len(data) < 3000
+            else [data[at : at + 900] for at in range(0, len(data), 900)]
+        )
     marks = sorted(chance.randrange(len(data) + 1) for _ in range(6))
     return [data[one:two] for one, two in zip([0, *marks], [*marks, len(data)], strict=True) if one < two]
 
@@ -224,9 +258,11 @@
 @pytest.mark.parametrize("together", [True, False])
 def test_requests_in_pieces_and_in_all_forms_are_each_taken_and_answered_once(tmp_path, cut, together):
     """Each piece is read before the next comes; `together`: one behind another on one connection, in drawn order."""
+
     async def main():
         with listening(tmp_path) as (clients_in, address, inbox):
             async with trio.open_nursery() as nursery:
+
                 async def answers():
                     async for came in inbox:
                         if isinstance(came, Came):
@@ -236,8 +272,11 @@
 
                 nursery.start_soon(clients_in(nursery).run)
                 nursery.start_soon(answers)
-                for rows in ([[*chance.sample(kept, len(kept)), end] for end in last[:3]] if together
-                             else [[row] for row in kept + last]):
+                for rows in (
+                    [[*chance.sample(kept, len(kept)), end] for end in last[:3]]
+                    if together
+                    else [[row] for row in kept + last]
+                ):
                     got.clear()
                     with closing(socket.create_connection(address, timeout=5)) as sock:
                         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -249,14 +288,17 @@
                         said += await trio.to_thread.run_sync(rest, sock)
                     wanted = [wanted for _, wanted in rows]
                     assert taken_apart(said) == [
-                        (200, b"made for " + number.encode() + b" " + body) for _, _, number, body in wanted]
-                    assert [(e.message.head.method.decode(), e.message.head.target.decode(), e.id.decode(),
-                             e.message.body) for e in got] == wanted
+                        (200, b"made for " + number.encode() + b" " + body) for _, _, number, body in wanted
+                    ]
+                    assert [
+                        (e.message.head.method.decode(), e.message.head.target.decode(), e.id.decode(), e.message.body)
+                        for e in got
+                    ] == wanted
                 nursery.cancel_scope.cancel()
 
     chance, got = random.Random(7), []
     kept, last = forms()
-    trio.run(main, clock=trio.testing.MockClock())      # time stands still: no time-out has a say
+    trio.run(main, clock=trio.testing.MockClock())  # time stands still: no time-out has a say
 
 
 def test_a_body_that_waits_for_100_continue_is_asked_for_and_answered_once(tmp_path):
@@ -281,6 +323,7 @@
 
 def test_all_forms_at_one_stroke_reach_a_server_once_each_and_unchanged(world):
     """The program as a whole: each request of each form has its own answer, and a server gets it in one form."""
+
     def act(handler, body):
         handler.reply(200, b"made for " + handler.headers["X-Txn"].encode() + b" " + body)
 
@@ -291,38 +334,44 @@
             said = received(sock, len(rows))
             sock.shutdown(socket.SHUT_WR)
             assert taken_apart(said + rest(sock)) == [
-                (200, b"made for " + number.encode() + b" " + body) for _, (_, _, number, body) in rows]
+                (200, b"made for " + number.encode() + b" " + body) for _, (_, _, number, body) in rows
+            ]
         seen = [(method, path, fields["x-txn"], body) for method, path, fields, body in w.seen()]
         assert sorted(seen) == sorted(wanted for _, wanted in kept + last)
 
 
 def pieced(handler, data):
     for at in range(len(data)):
-        handler.wfile.write(data[at:at + 1])
+        handler.wfile.write(data[at : at + 1])
 
 
 ANSWERS = {
     "cased": lambda body: b"HTTP/1.1 200 OK\r\nCONTENT-LENGTH:%d\r\n\r\n%b" % (len(body), body),
     "bare": lambda body: b"HTTP/1.1 200 \r\ncontent-length: \t%d \r\n\r\n%b" % (len(body), body),
-    "early": lambda body: b"HTTP/1.1 103 Early Hints\r\nA: b\r\n\r\nHTTP/1.1 100 Continue\r\n\r\n" + (
-        ANSWERS["cased"](body)),
-    "chunked": lambda body: b"HTTP/1.1 200 OK\r\ntransfer-encoding: Chunked\r\n\r\n" + chunked(
-        body, [1, 2, 300], b";x=y", b"X-Sum: 1\r\n"),
+    "early": lambda body: b"HTTP/1.1 103 Early Hints\r\nA: b\r\n\r\nHTTP/1.1 100 Continue\r\n\r\n"
+    + (ANSWERS["cased"](body)),
+    "chunked": lambda body: b"HTTP/1.1 200 OK\r\ntransfer-encoding: Chunked\r\n\r\n"
+    + chunked(body, [1, 2, 300], b";x=y", b"X-Sum: 1\r\n"),
     "closed": lambda body: b"HTTP/1.1 200 OK\r\nconnection: Close\r\n\r\n" + body,
-    "old": lambda body: b"HTTP/1.0 200 OK\r\n\r\n" + body}
+    "old": lambda body: b"HTTP/1.0 200 OK\r\n\r\n" + body,
+}
 
 
 @pytest.mark.parametrize("said", ANSWERS)
 def test_answers_of_servers_in_pieces_and_in_all_forms_are_passed_on_once(world, said):
     """Also where it never ran: the mark of that comes in a form of its own."""
+
     def act(handler, body):
         with lock:
             number = handler.headers["X-Txn"]
             ran[number] += 1
             away = number in "03" and ran[number] == 1
         if away:
-            return pieced(handler, b"HTTP/1.1 504 x\r\nX-TURNED-AWAY:  1 \r\nTransfer-Encoding: chunked\r\n\r\n" +
-                          chunked(b"no room", [3, 4]))
+            return pieced(
+                handler,
+                b"HTTP/1.1 504 x\r\nX-TURNED-AWAY:  1 \r\nTransfer-Encoding: chunked\r\n\r\n"
+                + chunked(b"no room", [3, 4]),
+            )
         pieced(handler, ANSWERS[said](b"made for " + number.encode() + b" " + body))
         handler.close_connection = said in ("closed", "old")
         return None
@@ -340,8 +389,9 @@
         with agents(1) as (listener,):
             listener.settimeout(5)
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(watches.Discovery(here_of(listener.getsockname()), queue,
-                                                     structlog.get_logger()).run)
+                nursery.start_soon(
+                    watches.Discovery(here_of(listener.getsockname()), queue, structlog.get_logger()).run
+                )
                 sock = None
                 for number, (said, indent) in enumerate((said, indent) for said in ANSWERS for indent in (None, 4)):
                     if sock is None:
@@ -351,11 +401,14 @@
                         asked = await trio.to_thread.run_sync(sock.recv, 9000)
                     assert b"from=%d&" % (number + 1) in asked
                     row = {"id": "s-1", "addr": f"127.0.0.1:{number + 1}", "state": "up", "else": [None]}
-                    body = json.dumps({"more": 1, "servers": [row], "full": False, "version": number + 2},
-                                      indent=indent).replace("\n", "\r\n").encode()
+                    body = (
+                        json.dumps({"more": 1, "servers": [row], "full": False, "version": number + 2}, indent=indent)
+                        .replace("\n", "\r\n")
+                        .encode()
+                    )
                     data = ANSWERS[said](body)
                     for at in range(len(data)):
-                        sock.sendall(data[at:at + 1])
+                        sock.sendall(data[at : at + 1])
                         await trio.testing.wait_all_tasks_blocked()
                     if said in ("closed", "old"):
                         sock.close()
@@ -371,6 +424,7 @@
 def test_an_answer_without_a_length_that_is_reset_may_have_run(world, cell):
     """A reset is no end, whatever came before it. An idempotent RPC runs again anywhere; a deduplicated one under its
     key, where servers drop the repeat, and nowhere else; a non-idempotent one never."""
+
     def act(handler, body):
         number = handler.headers["X-Txn"]
         with lock:
--- a/tests/test_page_lists.py
+++ b/tests/test_page_lists.py
@@ -1,5 +1,6 @@
 """Lists as the final form of the page has them, from the agent to the first byte of a call-out. On a clock that jumps:
 the program's own parts, with agents and servers played beside them, no sockets and no waiting."""
+
 import json
 import math
 import random
@@ -25,10 +26,10 @@
 from oakfork.sockets.servers import Servers
 
 ROWS = [entry(number, f"127.0.0.1:{1001 + number}") for number in range(4)]
-OLD, NEW = 9, 10        # ports of the agents
+OLD, NEW = 9, 10  # ports of the agents
 GRACE = settings()["invariants"]["stop-sending-within-ms"] / 1000
-SIGHUP_COUNTS = 4.0     # seconds after SIGHUP from which on the new agent's news counts
-LOOK = 0.01             # seconds between an agent's looks at its list
+SIGHUP_COUNTS = 4.0  # seconds after SIGHUP from which on the new agent's news counts
+LOOK = 0.01  # seconds between an agent's looks at its list
 
 
 class Agent:
@@ -37,7 +38,7 @@
 
     def __init__(self, rows=ROWS, version=1):
         self.rows, self.version = {row["id"]: row for row in rows}, version
-        self.changed = {}       # server -> the version in which it changed last
+        self.changed = {}  # server -> the version in which it changed last
         self.way, self.lines = "up", []
         self.leaves_out = self.ends = False
 
@@ -46,7 +47,7 @@
         for row in rows:
             self.rows[row["id"]], self.changed[row["id"]] = row, self.version
         for line in self.lines if self.ends else ():
-            line.ended = True       # instead of telling
+            line.ended = True  # instead of telling
 
     def fall_silent(self):
         for line in self.lines:
@@ -63,9 +64,15 @@
 
     def told(self, since, first):
         full = since is None or first and self.leaves_out
-        rows = [row for name, row in self.rows.items() if (
-            row["state"] == "up" or row["state"] == "draining" and not self.leaves_out if full
-            else self.changed.get(name, 0) > since)]
+        rows = [
+            row
+            for name, row in self.rows.items()
+            if (
+                row["state"] == "up" or row["state"] == "draining" and not self.leaves_out
+                if full
+                else self.changed.get(name, 0) > since
+            )
+        ]
         return json.dumps({"version": self.version, "full": full, "servers": rows}).encode()
 
 
@@ -83,7 +90,7 @@
         agent, until = self.agent, trio.current_time() + self.hold
         while True:
             if self.silent or agent.way in ("silent", "away", "refuses"):
-                self.silent = True      # for good, also where the agent comes back
+                self.silent = True  # for good, also where the agent comes back
                 await trio.sleep_forever()
             if self.ended:
                 raise Break(Ending.ENDED)
@@ -142,8 +149,8 @@
 class Asked(NamedTuple):
     at: float
     lane: str
-    left: float         # seconds
-    answers: list       # when, and its status
+    left: float  # seconds
+    answers: list  # when, and its status
 
 
 class Play:
@@ -159,19 +166,35 @@
         monkeypatch.setenv("LB_CONFIG", str(self.path))
 
     async def connect(self, address, patience, largest):
-        if self.before:     # it comes up
+        if self.before:  # it comes up
             await self.before(address[1] - 1001, patience)
         return Line(self, address[1] - 1001)
 
     def ask(self, lane="read", tier="free", left=1500):
         asked = Asked(trio.current_time(), lane, left / 1000, [])
-        fields = {"X-Txn": str(len(self.asked)), "X-Lane": lane, "X-Tier": tier, "X-Remaining-Ms": str(left),
-                  "Host": "a", "Idempotency-Key": str(len(self.asked))}
-        head = h11.Request(method="GET" if lane == "read" else "POST", target=f"/api?client={CUSTOMER}",
-                           headers=list(fields.items()))
+        fields = {
+            "X-Txn": str(len(self.asked)),
+            "X-Lane": lane,
+            "X-Tier": tier,
+            "X-Remaining-Ms": str(left),
+            "Host": "a",
+            "Idempotency-Key": str(len(self.asked)),
+        }
+        head = h11.Request(
+            method="GET" if lane == "read" else "POST", target=f"/api?client={CUSTOMER}", headers=list(fields.items())
+        )
         self.asked.append(asked)
-        tell(self.queue, Came(Exchange(Message(head, b""), self.here.names, self.here.birth, lambda answer:
-                                       asked.answers.append((trio.current_time(), answer.status)))))
+        tell(
+            self.queue,
+            Came(
+                Exchange(
+                    Message(head, b""),
+                    self.here.names,
+                    self.here.birth,
+                    lambda answer: asked.answers.append((trio.current_time(), answer.status)),
+                )
+            ),
+        )
         return asked
 
     async def ask_for(self, seconds, each_second=20):
@@ -198,8 +221,9 @@
             self.servers = Servers(50, LARGEST_BODY, self.here.connect_patience, 15.0, ())
             self.discovery = Discovery(self.here, self.queue, log)
             async with trio.open_nursery() as nursery:
-                self.keeper = Keeper(self.here, inbox, self.queue, self.servers, self.discovery, None, None, nursery,
-                                     log)
+                self.keeper = Keeper(
+                    self.here, inbox, self.queue, self.servers, self.discovery, None, None, nursery, log
+                )
                 for part in (self.keeper.run, self.keeper.tick, self.servers.run, self.discovery.run):
                     nursery.start_soon(part)
                 await test(self)
@@ -214,7 +238,8 @@
 
 @pytest.mark.parametrize("seed", range(10))
 def test_drains_soon_after_a_new_configuration_are_heeded_from_four_seconds_after_sighup_on(
-        tmp_path, monkeypatch, seed):
+    tmp_path, monkeypatch, seed
+):
     """Whatever the old agent does, and also where the configuration is half written at SIGHUP. The agents do not count
     alike."""
     chance = random.Random(seed)
@@ -232,7 +257,7 @@
         async def write():
             text = json.dumps(json.loads(play.path.read_text()) | {"discovery": f"127.0.0.1:{NEW}"})
             if half:
-                play.path.write_text(text[:len(text) // 2])
+                play.path.write_text(text[: len(text) // 2])
                 nursery.start_soon(gateway._turn, play.discovery, None, structlog.get_logger())
                 await trio.sleep(half)
             play.path.write_text(text)
@@ -257,8 +282,10 @@
     Play(tmp_path, monkeypatch, old).run(test)
 
 
-@pytest.mark.parametrize("trouble, how", [("silent", ""), ("ends", ""), ("down", "silent"), ("down", "away"),
-                                          ("down", "refuses"), ("down", "busy")])
+@pytest.mark.parametrize(
+    "trouble, how",
+    [("silent", ""), ("ends", ""), ("down", "silent"), ("down", "away"), ("down", "refuses"), ("down", "busy")],
+)
 @pytest.mark.parametrize("discovery", ["automatic", "subscribe"])
 @pytest.mark.parametrize("seed", range(3))
 def test_drains_are_heeded_when_they_count_as_told(tmp_path, monkeypatch, trouble, how, discovery, seed):
@@ -289,11 +316,14 @@
                 server = play.busiest(counts)
                 agent.change(drains(ROWS[server]))
                 now = trio.current_time()
-                counts[server] = {"silent": max(now, trouble_at + TOLD), "down": max(now, back + TOLD),
-                                  "ends": now if pushed else now + TOLD}[trouble]
+                counts[server] = {
+                    "silent": max(now, trouble_at + TOLD),
+                    "down": max(now, back + TOLD),
+                    "ends": now if pushed else now + TOLD,
+                }[trouble]
             await trio.sleep(max(counts.values()) + 2 - trio.current_time())
             assert not [sent for server, told in counts.items() for sent in play.late(server, told)]
-            again = min(counts)     # named again, and the only one
+            again = min(counts)  # named again, and the only one
             agent.change(ROWS[again], *(drains(row) for row in ROWS if row is not ROWS[again]))
             await trio.sleep(TOLD)
             assert {sent.server for sent in play.sent if sent.at > trio.current_time() - 1} == {again}
@@ -306,6 +336,7 @@
 
 def test_what_a_server_holds_when_a_whole_list_leaves_it_out_is_still_answered(tmp_path, monkeypatch):
     """It drains: it finishes what it has, and gets nothing new."""
+
     async def slow(line):
         await trio.sleep(0.5)
         return answer(line)
--- a/tests/test_page_tier.py
+++ b/tests/test_page_tier.py
@@ -1,4 +1,5 @@
 """Many gateways, by the page's final form: cold servers under a burst, gateways that serve nobody, requests left."""
+
 import random
 
 import pytest
@@ -13,7 +14,7 @@
 from oakfork.interface import SECOND, State
 from oakfork.sockets.endings import Ending
 
-SPELL, LEAST = 4.0, 15      # a gateway serves nobody: seconds on end, and requests of them all turned away
+SPELL, LEAST = 4.0, 15  # a gateway serves nobody: seconds on end, and requests of them all turned away
 
 
 @pytest.mark.parametrize("seed", range(2))
@@ -24,8 +25,13 @@
     tier.run(2)
     tier.truth[0] = State.GONE, 0
     for index in range(30):
-        tier.events.append((tier.now + tier.dice.randint(0, SECOND // 2), index, face.ServerList(
-            False, False, (listed(0, State.GONE),))))
+        tier.events.append(
+            (
+                tier.now + tier.dice.randint(0, SECOND // 2),
+                index,
+                face.ServerList(False, False, (listed(0, State.GONE),)),
+            )
+        )
     tier.run(1)
     tier.start(8, 2 * SECOND)
     tier.start(0, 2 * SECOND)
@@ -51,8 +57,10 @@
 @pytest.mark.parametrize("discovery", ["automatic", "subscribe"])
 @pytest.mark.parametrize("index", [0, 29])
 def test_a_gateway_that_starts_with_a_list_of_no_use_sends_on_within_the_time(
-        tmp_path, monkeypatch, known, discovery, index):
+    tmp_path, monkeypatch, known, discovery, index
+):
     """What it knows at its start names no server, such as are gone, or such as drain; or the agent has none yet."""
+
     async def before(server, patience):
         if server >= 10:
             raise Break(Ending.REFUSED)
@@ -76,14 +84,16 @@
     told = {"empty": [], "stale": gone, "draining": [drains(row) for row in rows], "emptied": rows}[known]
     agent = Agent(told)
     agent.leaves_out = True
-    Play(tmp_path, monkeypatch, agent, rows=told, before=before,
-         settings=settings(30, index, discovery=discovery)).run(test)
+    Play(tmp_path, monkeypatch, agent, rows=told, before=before, settings=settings(30, index, discovery=discovery)).run(
+        test
+    )
 
 
 @pytest.mark.parametrize("spell, seconds", [("one hangs", 10.0), ("half hang", 5.0), ("all hang", 1.0)])
 def test_after_a_spell_of_trouble_hardly_a_gateway_serves_nobody(tmp_path, monkeypatch, spell, seconds):
     """One in twenty servers hangs all the time, half of them for five seconds, all of them for one, so that the share
     let in falls. Of twenty gateways with six requests a second, each for itself, two may turn all away for 4 s."""
+
     async def act(line):
         bad = begin <= trio.current_time() < begin + seconds
         if spell == "one hangs" and not line.server or bad and (spell == "all hang" or line.server % 2):
@@ -107,8 +117,15 @@
 
     begin, let_in, idle, chance = 3.0, [], [], random.Random(1)
     for index in range(20):
-        Play(tmp_path, monkeypatch, Agent(fleet(20)), act, fleet(20), seed=f"{chance.getrandbits(60):x}",
-             settings=settings(30, index)).run(test)
+        Play(
+            tmp_path,
+            monkeypatch,
+            Agent(fleet(20)),
+            act,
+            fleet(20),
+            seed=f"{chance.getrandbits(60):x}",
+            settings=settings(30, index),
+        ).run(test)
     assert sum(idle) <= 2
     assert spell != "all hang" or min(let_in) < 0.7
 
@@ -147,6 +164,7 @@
 def test_each_request_taken_has_its_one_answer_in_time_whatever_is_down(tmp_path, monkeypatch, seed, cancel, aim):
     """Servers hang, owners of quotas say nothing, discovery is away; the deadlines are long and short. The page allows
     one in 500 to be left; here none is."""
+
     async def test(play):
         async def troubles():
             for _ in range(8):
@@ -157,10 +175,13 @@
         async with trio.open_nursery() as nursery:
             nursery.start_soon(troubles)
             for _ in range(900):
-                play.ask(chance.choice(("read", "seal", "hand")), chance.choice(("basic", "free")),
-                         chance.choice((1, 20, 150, int(aim), int(2 * aim), 9999)))
+                play.ask(
+                    chance.choice(("read", "seal", "hand")),
+                    chance.choice(("basic", "free")),
+                    chance.choice((1, 20, 150, int(aim), int(2 * aim), 9999)),
+                )
                 await trio.sleep(chance.choice((0.0, 0.005, 0.04)))
-        trouble.bad = 1.0       # what comes last hangs
+        trouble.bad = 1.0  # what comes last hangs
         play.ask("hand")
         await trio.sleep(2 * aim / 1000 + 0.1)
         assert all(len(asked.answers) == 1 for asked in play.asked)
@@ -173,5 +194,6 @@
 
     agent, trouble, chance = Agent(), Trouble(seed), random.Random(seed + 100)
     limits = settings(2)["limits"] | {"cancel": cancel}
-    Play(tmp_path, monkeypatch, agent, trouble.act, ROWS, trouble.before,
-         settings=settings(2, 0, aim, limits=limits)).run(test)
+    Play(
+        tmp_path, monkeypatch, agent, trouble.act, ROWS, trouble.before, settings=settings(2, 0, aim, limits=limits)
+    ).run(test)
--- a/tests/test_ports.py
+++ b/tests/test_ports.py
@@ -1,4 +1,5 @@
 """Ports for processes that are started later: claimed, not only looked at."""
+
 import os
 import socket
 import subprocess
@@ -11,7 +12,7 @@
 from oakfork.errors import RigError
 from oakfork.lab.ports import BLOCK, Ports, free_places, text
 
-RANGE = 9_000, 9_000 + 4 * BLOCK        # of these tests alone: below the range that all others take from
+RANGE = 9_000, 9_000 + 4 * BLOCK  # of these tests alone: below the range that all others take from
 ASK = """
 import socket, sys
 from oakfork.lab.ports import free_places
@@ -25,13 +26,19 @@
     workers of a run of the tests drew from one range, and a gateway met an address in use."""
     monkeypatch.setenv("OAKFORK_RIG_PORTS", "{}-{}".format(*RANGE))
     with ExitStack() as stack:
-        asked = [stack.enter_context(subprocess.Popen([sys.executable, "-c", ASK], cwd=ROOT, text=True,
-                                                      stdin=subprocess.PIPE, stdout=subprocess.PIPE)) for _ in range(4)]
+        asked = [
+            stack.enter_context(
+                subprocess.Popen(
+                    [sys.executable, "-c", ASK], cwd=ROOT, text=True, stdin=subprocess.PIPE, stdout=subprocess.PIPE
+                )
+            )
+            for _ in range(4)
+        ]
         ports = [port for process in asked for port in process.stdout.readline().split()]
         assert len(ports) == len(set(ports)) == 400
         with pytest.raises(RigError, match="claimed"):
             Ports(*RANGE)
-    ours = Ports(*RANGE)        # all have ended, and nothing of their claims is left
+    ours = Ports(*RANGE)  # all have ended, and nothing of their claims is left
     ours.claim.close()
 
 
--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -1,4 +1,5 @@
 """Owners, slices and ceilings, in plain cases."""
+
 import pytest
 from gateways import ended, frame_of, gateway, kinds, owned_by
 from world import METHODS, PLANS, World, arrival
@@ -11,8 +12,8 @@
     for seed in range(4):
         world = World(seed, 3, 9, trouble=False)
         world.cut, sent = True, 0
-        world.now += 5 * SECOND     # the buckets have filled since the start
-        for rpc in range(900):      # one customer asks for all it can get through all its gateways
+        world.now += 5 * SECOND  # the buckets have filled since the start
+        for rpc in range(900):  # one customer asks for all it can get through all its gateways
             world.now += 1000 if rpc % 60 == 0 else 20
             world.give(rpc % 3, arrival(rpc, 5, 0, 1, 1.0, 0, 3))
             while world.queue and world.queue[0][0] <= world.now + 20:
@@ -21,8 +22,10 @@
         assert sent > 12 and 5 in world.stores
 
 
-@pytest.mark.parametrize("to_life, again, full", [(0, False, True), (None, False, True), (0, True, False),
-                                                  (None, True, False), (7, False, False)])
+@pytest.mark.parametrize(
+    "to_life, again, full",
+    [(0, False, True), (None, False, True), (0, True, False), (None, True, False), (7, False, False)],
+)
 def test_under_a_ceiling_only_a_first_life_starts_full(to_life, again, full):
     """None: the life that it is in. The second of the others to be heard says what the parameters say."""
     brain, customer = gateway(0, 3), owned_by(0, 3)
@@ -32,9 +35,9 @@
     brain.handle(3, face.PeerFrame(2, wire.pack(12, brain.links.life if to_life is None else to_life, 1, 0, [], again)))
     sent = sum(face.Send in kinds(brain.handle(4, arrival(rpc, customer, plan=1, spread=3))) for rpc in range(2, 60))
     assert sent == (int(PLANS[1].burst) if full else 0)
-    brain.handle(5, face.PeerFrame(1, wire.pack(13, 0, 1, 0, [])))      # it has restarted, which fills nothing again
+    brain.handle(5, face.PeerFrame(1, wire.pack(13, 0, 1, 0, [])))  # it has restarted, which fills nothing again
     assert face.PushBack in kinds(brain.handle(6, arrival(60, customer, plan=1, spread=3)))
-    for owner, known in ((1, True), (2, False)):     # who restarts is told that it was known before
+    for owner, known in ((1, True), (2, False)):  # who restarts is told that it was known before
         brain.handle(10 + owner * 100, arrival(70 + owner, owned_by(owner, 3), spread=3))
         assert frame_of(brain.handle(50 + owner * 100, face.TimeCame(0))).again == known
 
@@ -42,15 +45,15 @@
 def test_the_bucket_gives_its_capacity_and_then_its_rate():
     brain = gateway()
     sent = [face.Send in kinds(brain.handle(100, arrival(rpc))) for rpc in range(12)]
-    assert sent == [True] * 8 + [False] * 4      # the burst of plan 0
+    assert sent == [True] * 8 + [False] * 4  # the burst of plan 0
     refused = brain.handle(101, arrival(20))
-    assert [c.retry_after for c in refused if isinstance(c, face.PushBack)] == [SECOND]     # whole seconds, up
-    assert face.Send in kinds(brain.handle(101 + SECOND // 4, arrival(21)))     # a token is back after 1 / rate
+    assert [c.retry_after for c in refused if isinstance(c, face.PushBack)] == [SECOND]  # whole seconds, up
+    assert face.Send in kinds(brain.handle(101 + SECOND // 4, arrival(21)))  # a token is back after 1 / rate
 
 
 def test_full_buckets_are_dropped_and_read_as_full():
     brain = gateway()
-    for customer in range(300):     # a flood of customers seen once
+    for customer in range(300):  # a flood of customers seen once
         brain.handle(100, arrival(customer, customer))
         brain.handle(101, ended(customer, 0, next(iter(brain.rpcs[customer].out.values()))))
     assert len(brain.quotas.buckets) > 50
@@ -79,7 +82,7 @@
     late = wire.pack(77, brain.links.life, 1, 0, [wire.pack_item(wire.Answer(asked.items[0].serial, 0))])
     brain.handle(5000, face.PeerFrame(1, late))
     assert wire.Return(customer, 0, 1.0) in frame_of(brain.handle(5100, face.TimeCame(0))).items
-    for rpc in range(2, 20):        # the slice holds half of the burst of 8
+    for rpc in range(2, 20):  # the slice holds half of the burst of 8
         brain.handle(5200, arrival(rpc, customer, spread=2))
     brain.handle(5200 + METHODS[0].soft_deadline // 10, face.TimeCame(0))
     assert sum(rpc.sent for rpc in brain.rpcs.values()) <= 1 + 4 + 2
@@ -92,8 +95,8 @@
     serial = frame_of(brain.handle(40, face.TimeCame(0))).items[0].serial
     no = wire.pack(77, brain.links.life, 1, 0, [wire.pack_item(wire.Answer(serial, 3000))])
     assert face.PushBack in kinds(brain.handle(100, face.PeerFrame(1, no)))
-    assert face.PushBack in kinds(brain.handle(200, arrival(2, customer, spread=2)))    # without an ask
-    assert brain.quotas.slices[customer, 0].tokens < 0.2                      # the slice is spent as well
+    assert face.PushBack in kinds(brain.handle(200, arrival(2, customer, spread=2)))  # without an ask
+    assert brain.quotas.slices[customer, 0].tokens < 0.2  # the slice is spent as well
     brain.handle(100 + 3100, face.TimeCame(0))
     assert not brain.quotas.refusals
 
@@ -103,9 +106,9 @@
     brain = gateway(0, 2)
     for rpc in range(2):
         brain.handle(rpc * 3000, arrival(rpc, customer, spread=2))
-        for wait in range(1, 4):    # the slice has spent after the first RPC: then it is asked up to three times
+        for wait in range(1, 4):  # the slice has spent after the first RPC: then it is asked up to three times
             brain.handle(rpc * 3000 + wait * METHODS[0].soft_deadline // 10, face.TimeCame(0))
-    brain.handle(12_000, arrival(8, customer, spread=2))            # the trickle's ask
+    brain.handle(12_000, arrival(8, customer, spread=2))  # the trickle's ask
     brain.let_in, brain.desk.lag = 1.0, 0.0
     assert face.Send in kinds(brain.handle(12_001, arrival(9, customer, spread=2)))
 
@@ -118,7 +121,7 @@
     first = frame_of(asker.handle(40, face.TimeCame(0)))
     asker.handle(METHODS[0].soft_deadline // 10, face.TimeCame(0))
     frames = [first, frame_of(asker.handle(2100, face.TimeCame(0)))]
-    assert frames[0].items == frames[1].items       # the first was lost, or its answer was
+    assert frames[0].items == frames[1].items  # the first was lost, or its answer was
     for frame in frames:
         items = [wire.pack_item(item) for item in frame.items]
         owner.handle(2200, face.PeerFrame(0, wire.pack(frame.life, 0, frame.number, 0, items)))
@@ -143,13 +146,13 @@
     asks = [wire.pack_item(wire.Ask(serial, 5, 2, 1.0)) for serial in range(4)]
     other.handle(10, face.PeerFrame(0, wire.pack(9, 0, 1, 0, asks)))
     assert len(other.quotas.buckets[5, 2].leases) == 3
-    other.handle(10 + 6 * SECOND, face.TimeCame(0))     # a release that never came
+    other.handle(10 + 6 * SECOND, face.TimeCame(0))  # a release that never came
     assert (5, 2) not in other.quotas.buckets
 
 
 def test_a_slice_holds_one_request_and_tells_the_owner_what_it_spends():
     customer = owned_by(1, 4)
-    small = face.Plan(0.5, 2.0, 0, 0.0, 0.0, 0.0, 1.0, 0.0, 1.0)    # a quarter of the burst is under one request
+    small = face.Plan(0.5, 2.0, 0, 0.0, 0.0, 0.0, 1.0, 0.0, 1.0)  # a quarter of the burst is under one request
     brain = gateway(0, 4, plans=(small,), most_units=1)
     brain.handle(0, face.PeerFrame(1, wire.pack(77, 0, 1, 0, [])))
     brain.handle(0, arrival(1, customer, spread=4))
@@ -177,7 +180,7 @@
     """Guards against granting each customer its burst twice: only what began empty, under a ceiling, is filled."""
     brain = gateway(0, 3)
     mine = [c for c in range(99) if brain.quotas.owner(arrival(1, c, spread=3))[0] == 0]
-    asks = [arrival(rpc, mine[rpc % 2], plan=rpc % 2, spread=3) for rpc in range(40)]   # under a ceiling, and not
+    asks = [arrival(rpc, mine[rpc % 2], plan=rpc % 2, spread=3) for rpc in range(40)]  # under a ceiling, and not
     sent = [sum(face.Send in kinds(brain.handle(0, ask)) for ask in asks[plan::2]) for plan in (0, 1)]
     assert sent == [int(PLANS[0].burst), 0]
     for peer in (1, 2):
--- a/tests/test_readiness.py
+++ b/tests/test_readiness.py
@@ -1,15 +1,39 @@
 """What `run` loads: a process is ready within seconds on part of a core. No clock: counts and names only."""
+
 import json
 import subprocess
 import sys
 
 from labworlds import ROOT
 
-LATER = {"click", "jsonschema", "msgspec", "numpy", "scipy", "matplotlib", "hdrh", "hypothesis", "pytest",
-         "referencing", "rpds", "tomllib", "multiprocessing", "http", "email", "urllib3"}
-OURS_LATER = ("oakfork.lab", "oakfork.fleet", "oakfork.leases", "oakfork.contracts", "oakfork.command",
-              "oakfork.format", "oakfork.wirehost")
-MOST = 340      # 327 today, with the interpreter's own; each some tenths of a millisecond
+LATER = {
+    "click",
+    "jsonschema",
+    "msgspec",
+    "numpy",
+    "scipy",
+    "matplotlib",
+    "hdrh",
+    "hypothesis",
+    "pytest",
+    "referencing",
+    "rpds",
+    "tomllib",
+    "multiprocessing",
+    "http",
+    "email",
+    "urllib3",
+}
+OURS_LATER = (
+    "oakfork.lab",
+    "oakfork.fleet",
+    "oakfork.leases",
+    "oakfork.contracts",
+    "oakfork.command",
+    "oakfork.format",
+    "oakfork.wirehost",
+)
+MOST = 340  # 327 today, with the interpreter's own; each some tenths of a millisecond
 
 
 def loaded(statement):
