--- a/tests/test_scale_added.py
+++ b/tests/test_scale_added.py
@@ -1,4 +1,5 @@
 """Group "added": the time that a gateway adds, taken apart by what is wrapped from outside."""
+
 import http.client
 import inspect
 import json
@@ -20,19 +21,32 @@
 
 # All that traced.py wraps, by the name that the program gives it.
 WRAPPED = {
-    "oakfork.sockets.heads.Link.fill": "coroutine", "oakfork.sockets.heads.Link.write": "coroutine",
+    "oakfork.sockets.heads.Link.fill": "coroutine",
+    "oakfork.sockets.heads.Link.write": "coroutine",
     "oakfork.sockets.heads.Link._push": "plain",
-    "oakfork.sockets.clients.Client._take": "plain", "oakfork.sockets.exchange.Exchange.answer": "plain",
-    "oakfork.sockets.keeper.Keeper._take": "plain", "oakfork.sockets.keeper.Keeper._send": "plain",
-    "oakfork.sockets.keeper.Keeper._finish": "plain", "oakfork.sockets.keeper.Keeper._call_out": "coroutine",
-    "oakfork.sockets.servers.Servers.call": "coroutine", "oakfork.sockets.servers.Servers._new": "coroutine",
-    "oakfork.sockets.peers.Peers.tell": "plain", "oakfork.brain.quotas.Quotas.received": "plain",
-    "oakfork.brain.quotas.Quotas.admit": "generator", "oakfork.brain.rpcs.Brain._look": "generator"}
+    "oakfork.sockets.clients.Client._take": "plain",
+    "oakfork.sockets.exchange.Exchange.answer": "plain",
+    "oakfork.sockets.keeper.Keeper._take": "plain",
+    "oakfork.sockets.keeper.Keeper._send": "plain",
+    "oakfork.sockets.keeper.Keeper._finish": "plain",
+    "oakfork.sockets.keeper.Keeper._call_out": "coroutine",
+    "oakfork.sockets.servers.Servers.call": "coroutine",
+    "oakfork.sockets.servers.Servers._new": "coroutine",
+    "oakfork.sockets.peers.Peers.tell": "plain",
+    "oakfork.brain.quotas.Quotas.received": "plain",
+    "oakfork.brain.quotas.Quotas.admit": "generator",
+    "oakfork.brain.rpcs.Brain._look": "generator",
+}
 
 
 def kind(function):
-    return ("coroutine" if inspect.iscoroutinefunction(function) else
-            "generator" if inspect.isgeneratorfunction(function) else "plain")
+    return (
+        "coroutine"
+        if inspect.iscoroutinefunction(function)
+        else "generator"
+        if inspect.isgeneratorfunction(function)
+        else "plain"
+    )
 
 
 def test_every_wrapped_function_is_there_and_wrapped_as_what_it_is():
@@ -67,22 +81,35 @@
     ticks = iter(range(100, 10_000, 100))
     monkeypatch.setattr(traced, "perf_counter_ns", lambda: next(ticks))
     record = Record("a", 0)
-    record.to(QUEUE)            # 100
-    record.written()            # 200
+    record.to(QUEUE)  # 100
+    record.written()  # 200
     record.to(traced.LOOK)
     record.to(traced.START)
-    record.written()            # the copy
-    record.over(False)          # one of them fails
+    record.written()  # the copy
+    record.over(False)  # one of them fails
     assert record.part == CALL_OUT
-    record.over(True)           # 300
+    record.over(True)  # 300
     record.to(QUEUE)
     assert record.part == WAY_BACK
-    record.end(200)             # 400
+    record.end(200)  # 400
     record.end(503)
     assert dict(zip(PARTS, record.parts, strict=True)) == dict.fromkeys(PARTS, 0) | {
-        "parse": 100, "queue": 100, "call-out": 100, "way back": 100}
-    assert record.told() == {"rpc": "a", "begun": 0, "ended": 400, "status": 200, "asks": 0, "replies": 0,
-                             "call_outs": 2, "connections": 0, "parts": record.parts}
+        "parse": 100,
+        "queue": 100,
+        "call-out": 100,
+        "way back": 100,
+    }
+    assert record.told() == {
+        "rpc": "a",
+        "begun": 0,
+        "ended": 400,
+        "status": 200,
+        "asks": 0,
+        "replies": 0,
+        "call_outs": 2,
+        "connections": 0,
+        "parts": record.parts,
+    }
 
 
 def test_a_module_s_generator_is_driven_as_without_the_wrap():
@@ -184,24 +211,34 @@
 def test_a_client_s_time_is_taken_apart_by_what_servers_and_gateways_noted():
     row = Row("a", "127.0.0.1:1", 1_000_000, 9_000_000, "200")
     served = {"a": [Served("a", 1, 0, 500), Served("a", 2, 3_000_000, 5_000_000), Served("a", 3, 2_000_000, 8_000_000)]}
-    assert added._beside([row, row._replace(rpc="b")], served) == [6_000_000]       # the first answer in its time
+    assert added._beside([row, row._replace(rpc="b")], served) == [6_000_000]  # the first answer in its time
     parts = [0] * len(PARTS)
     parts[ASK], parts[CALL_OUT] = 2_000_000, 4_000_000
     record = {"rpc": "a", "begun": 2_000_000, "ended": 8_000_000, "asks": 1, "replies": 1, "parts": parts}
     told = added._parts([row], {"a": record})
     assert {name: figures["p50_ms"] for name, figures in told.items() if figures["count"]} == {
-        "way in": 1.0, "ask": 2.0, "call-out": 4.0, "way out": 1.0}
+        "way in": 1.0,
+        "ask": 2.0,
+        "call-out": 4.0,
+        "way out": 1.0,
+    }
     assert told["look"] == {"p50_ms": None, "p99_ms": None, "count": 0}
-    assert added._parts([row._replace(begun=3_000_000)], {"a": record})["way in"]["count"] == 0     # another exchange
+    assert added._parts([row._replace(begun=3_000_000)], {"a": record})["way in"]["count"] == 0  # another exchange
     direct, through = {"p50_ms": 1.0, "p99_ms": 2.0}, {"p50_ms": 3.0, "p99_ms": 9.0}
     assert added._added(direct, through, {"p50_ms": 3.5, "p99_ms": 9.0}) == {
-        "p50_ms": 2.0, "p99_ms": 8.0, "p99_over_p99_ms": 7.0, "tracing_p50_ms": 0.5, "tracing_p99_ms": 0.0}
+        "p50_ms": 2.0,
+        "p99_ms": 8.0,
+        "p99_over_p99_ms": 7.0,
+        "tracing_p50_ms": 0.5,
+        "tracing_p99_ms": 0.0,
+    }
     with pytest.raises(added.RigError, match="direct"):
         added.client_of([], served, "direct")
 
 
 # Real processes
 
+
 @pytest.fixture
 def processes(monkeypatch):
     """All that are started."""
@@ -219,20 +256,33 @@
 def customer_of(owner, gateways):
     """The first customer whose owner is this one."""
     quotas = SimpleNamespace(birth=SimpleNamespace(gateways=gateways))
-    return next(customer for customer in range(999) if Quotas.owner(quotas, SimpleNamespace(
-        customer=customer, first_gateway=0, spread=gateways))[0] == owner)
+    return next(
+        customer
+        for customer in range(999)
+        if Quotas.owner(quotas, SimpleNamespace(customer=customer, first_gateway=0, spread=gateways))[0] == owner
+    )
 
 
 def exchanged(tier):
     """What a gateway answers to some requests, but for the advised wait, which goes by the clock."""
     ours, other = (f"/api?client={customer_of(owner, 2):016x}" for owner in (0, 1))
     whole = {"X-Lane": "read", "X-Tier": "basic", "X-Remaining-Ms": "20000", "X-Call-Terms": "units=1,spread=2,first=0"}
-    asked = [("GET", ours, {}, None), ("GET", other, {}, None), ("POST", ours, {}, b"abc"),
-             ("POST", other, {}, b"x" * 9000),
-             ("GET", ours, {"X-Tier": "spent"}, None), ("GET", ours, {"X-Tier": "spent"}, None),
-             ("GET", other, {"X-Tier": "spent"}, None), ("GET", other, {"X-Tier": "spent"}, None),
-             ("GET", ours, {"X-Tier": "none"}, None), ("GET", "/api", {}, None), ("GET", "/-/ready", {}, None),
-             ("GET", "/-/x", {}, None), ("DELETE", ours, {}, None), ("OPTIONS", ours, {}, None)]
+    asked = [
+        ("GET", ours, {}, None),
+        ("GET", other, {}, None),
+        ("POST", ours, {}, b"abc"),
+        ("POST", other, {}, b"x" * 9000),
+        ("GET", ours, {"X-Tier": "spent"}, None),
+        ("GET", ours, {"X-Tier": "spent"}, None),
+        ("GET", other, {"X-Tier": "spent"}, None),
+        ("GET", other, {"X-Tier": "spent"}, None),
+        ("GET", ours, {"X-Tier": "none"}, None),
+        ("GET", "/api", {}, None),
+        ("GET", "/-/ready", {}, None),
+        ("GET", "/-/x", {}, None),
+        ("DELETE", ours, {}, None),
+        ("OPTIONS", ours, {}, None),
+    ]
     answers = []
     for number, (method, path, fields, body) in enumerate(asked):
         link = http.client.HTTPConnection(*configuration.address(tier.listens[0]), timeout=20)
@@ -250,8 +300,10 @@
         module sheds the RPC."""
         told = settings(aim_ms)
         spent = {"name": "spent", "refill": 0.0001, "peak-units": 1.0}
-        return told | {"tiers-of-service": [*told["tiers-of-service"], spent],
-                       "limits": told["limits"] | {"probing": False}}
+        return told | {
+            "tiers-of-service": [*told["tiers-of-service"], spent],
+            "limits": told["limits"] | {"probing": False},
+        }
 
     monkeypatch.setattr(addedtier, "settings", more)
     answers, records = {}, []
@@ -269,7 +321,7 @@
     noted = {record["rpc"]: record for record in records if "rpc" in record}
     assert sorted(noted) == [f"{number:016x}" for number in (*range(8), 12)]
     others = [record for record in records if "missed" in record]
-    assert [(record["missed"], len(record["served"])) for record in others] == [(0, 0), (0, 4)]     # asks of the first
+    assert [(record["missed"], len(record["served"])) for record in others] == [(0, 0), (0, 4)]  # asks of the first
     for number, record in enumerate(noted[rpc] for rpc in sorted(noted)):
         parts = dict(zip(PARTS, record["parts"], strict=True))
         assert min(parts.values()) >= 0 and sum(parts.values()) == record["ended"] - record["begun"]
@@ -286,8 +338,10 @@
     measures, more = added.measure(lines.append, small=True)
     assert processes and all(process.poll() is not None for process in processes)
     assert [measure.name for measure in measures] == [
-        f"added by servers, {mode} changes: milliseconds, {which}" for mode in ("with", "without")
-        for which in ("99 in 100", "median")]
+        f"added by servers, {mode} changes: milliseconds, {which}"
+        for mode in ("with", "without")
+        for which in ("99 in 100", "median")
+    ]
     assert all([size for size, _ in measure.points] == [1, 2, 3, 4] for measure in measures)
     assert len(lines) == 6 and lines[0].startswith("quiet day: added ") and lines[1].startswith("bad day: added ")
     for day in ("quiet", "bad"):
@@ -300,7 +354,7 @@
             assert told["answers"][name]["200"] >= told[name]["total"]["count"] > 0
             assert 0 < told[name]["beside the server"]["p50_ms"] < told[name]["total"]["p50_ms"]
         seen = told["traced through"]["gateway saw"]["count"]
-        assert seen == told["parts"]["way in"]["count"] == told["traced through"]["total"]["count"]     # all are traced
+        assert seen == told["parts"]["way in"]["count"] == told["traced through"]["total"]["count"]  # all are traced
     assert list(more["by servers"]) == ["4"] and set(more["by servers"]["4"]) == {"with changes", "without changes"}
     store(tmp_path, added.GROUP, measures, more)
     assert set(load(tmp_path)) == {measure.name for measure in measures}
--- a/tests/test_scale_frames.py
+++ b/tests/test_scale_frames.py
@@ -1,4 +1,5 @@
 """Costs by size that are counts: frames between gateways, and the lists that discovery tells."""
+
 import json
 from contextlib import closing
 
@@ -15,15 +16,29 @@
 from oakfork.sockets.heads import LARGEST_BODY, Message
 
 # What oakfork/lab/scale's page reads.
-STARTS = [f"start by gateways, {who}: {what}" for who in ("none replies", "all reply")
-          for what in ("bytes", "bytes, with headers", "frames")]
+STARTS = [
+    f"start by gateways, {who}: {what}"
+    for who in ("none replies", "all reply")
+    for what in ("bytes", "bytes, with headers", "frames")
+]
 RESTS = [f"rest by gateways: {what}" for what in ("bytes a second", "bytes a second, with headers", "frames a second")]
-ASKS = [f"asks by rate: {what}" for way in ("sent", "received") for what in (
-    f"bytes a second {way}", f"bytes a second {way}, with headers", f"frames a second {way}")]
-LISTS = [f"{what}: bytes" for what in ("whole list by servers", "whole list by servers compact",
-                                       "changes by servers changed", "changes by servers changed compact")]
-GREETING, ASK, ANSWER = (wire.HEADER.size + size for size in (
-    0, 1 + wire.LAYOUT[wire.ASK].size, 1 + wire.LAYOUT[wire.ANSWER].size))
+ASKS = [
+    f"asks by rate: {what}"
+    for way in ("sent", "received")
+    for what in (f"bytes a second {way}", f"bytes a second {way}, with headers", f"frames a second {way}")
+]
+LISTS = [
+    f"{what}: bytes"
+    for what in (
+        "whole list by servers",
+        "whole list by servers compact",
+        "changes by servers changed",
+        "changes by servers changed compact",
+    )
+]
+GREETING, ASK, ANSWER = (
+    wire.HEADER.size + size for size in (0, 1 + wire.LAYOUT[wire.ASK].size, 1 + wire.LAYOUT[wire.ANSWER].size)
+)
 
 
 @pytest.fixture(scope="module")
@@ -50,8 +65,9 @@
     assert met == {size: size - 1 for size in met}
     assert all(4 * met[size] < silent[size] < 12 * met[size] for size in met)
     for who, sent in (("all reply", met), ("none replies", silent)):
-        bare, whole = (values(counted[0][f"start by gateways, {who}: {what}"]) for what in (
-            "bytes", "bytes, with headers"))
+        bare, whole = (
+            values(counted[0][f"start by gateways, {who}: {what}"]) for what in ("bytes", "bytes, with headers")
+        )
         assert bare == {size: GREETING * sent[size] for size in sent}
         assert whole == {size: (GREETING + 28) * sent[size] for size in sent}
         assert counted[0][f"start by gateways, {who}: bytes"].fit().slope > 0
@@ -64,10 +80,12 @@
 
 def test_an_ask_is_a_frame_each_way_and_so_is_one_served(counted):
     for way in ("sent", "received"):
-        frame, bare, whole = (counted[0][f"asks by rate: {what}"] for what in (
-            f"frames a second {way}", f"bytes a second {way}", f"bytes a second {way}, with headers"))
+        frame, bare, whole = (
+            counted[0][f"asks by rate: {what}"]
+            for what in (f"frames a second {way}", f"bytes a second {way}", f"bytes a second {way}, with headers")
+        )
         for rate, sent in values(frame).items():
-            assert 1.8 * rate < sent <= 2 * rate        # few share a frame with another
+            assert 1.8 * rate < sent <= 2 * rate  # few share a frame with another
             items = rate * (ASK + ANSWER - 2 * wire.HEADER.size)
             assert values(bare)[rate] == pytest.approx(items + sent * wire.HEADER.size)
             assert values(whole)[rate] == pytest.approx(values(bare)[rate] + 28 * sent)
@@ -103,7 +121,7 @@
 
 
 def test_lists_have_the_form_of_discovery_and_each_server_an_id_of_its_own():
-    example = ["id", "addr", "zone", "kind", "cell", "state", "weight", "started_ms"]     # PROTOCOL's
+    example = ["id", "addr", "zone", "kind", "cell", "state", "weight", "started_ms"]  # PROTOCOL's
     rows, changes = lists.rows(41_000, 1), lists.changes(300, 1)
     assert len({row["id"] for row in rows}) == 41_000 and {row["state"] for row in rows} == {"up"}
     assert {row["state"] for row in changes} == {"up", "draining", "removed"}
@@ -117,8 +135,10 @@
 
     async def answered():
         with closing((stand_in := DiscoveryStandIn(rows)).sock):
-            calls = [h11.Request(method="GET", target=f"/api/targets{query}", headers=[("Host", "a")])
-                     for query in ("", "?from=0&hold_ms=1")]
+            calls = [
+                h11.Request(method="GET", target=f"/api/targets{query}", headers=[("Host", "a")])
+                for query in ("", "?from=0&hold_ms=1")
+            ]
             return [(await stand_in.answer(Message(call, b"")))[1] for call in calls]
 
     assert trio.run(answered) == [lists.body(1, True, rows), lists.body(1, False, rows)]
--- a/tests/test_scale_module.py
+++ b/tests/test_scale_module.py
@@ -1,4 +1,5 @@
 """The costs of the decision module: what is counted, that counts are the same each time, and what the units do."""
+
 import gc
 import sys
 
@@ -30,6 +31,7 @@
     def call():
         for _ in range(times):
             pass
+
     return call
 
 
@@ -88,15 +90,20 @@
     assert all(not bucket.leases for bucket in brain.quotas.buckets.values())
 
 
-@pytest.mark.parametrize("act, events, tells", [
-    (Driven.rpc_at_owner, {face.Arrival: 30, face.CallOutEnded: 30}, 0),
-    (Driven.rpc_that_asks, {face.Arrival: 30, face.CallOutEnded: 30, face.PeerFrame: 30}, 60),
-    (Driven.ask_served, {face.PeerFrame: 60}, 30),
-    (Driven.server_changed, {face.ServerList: 30}, 0), (Driven.list_again, {face.ServerList: 30}, 0)])
+@pytest.mark.parametrize(
+    "act, events, tells",
+    [
+        (Driven.rpc_at_owner, {face.Arrival: 30, face.CallOutEnded: 30}, 0),
+        (Driven.rpc_that_asks, {face.Arrival: 30, face.CallOutEnded: 30, face.PeerFrame: 30}, 60),
+        (Driven.ask_served, {face.PeerFrame: 60}, 30),
+        (Driven.server_changed, {face.ServerList: 30}, 0),
+        (Driven.list_again, {face.ServerList: 30}, 0),
+    ],
+)
 def test_a_unit_is_what_it_says(act, events, tells):
     """The events of thirty units, the frames sent, and that no bucket or RPC is left over."""
     driven = Driven(FEW, kept=True)
-    driven.play(Driven.rpc_at_owner, 30)    # the module is calm after that: no more looks
+    driven.play(Driven.rpc_at_owner, 30)  # the module is calm after that: no more looks
     first, *_, last = driven.play(act, 30)
     replay = Replay(FEW, driven.script)
     replay.advance(first)
@@ -128,8 +135,9 @@
 
 def test_a_longer_list_costs_more_when_it_is_told_whole_and_not_when_one_server_changes(run):
     for more in ("", " without connection price"):
-        whole, change = (run[0][f"{name} by servers{more}: operations"] for name in (
-            "whole list", "change of one server"))
+        whole, change = (
+            run[0][f"{name} by servers{more}: operations"] for name in ("whole list", "change of one server")
+        )
         (shortest, _), *_, (longest, _) = whole.points
         assert longest == 8 * shortest and whole.at(longest).value > 4 * whole.at(shortest).value
         assert change.at(longest).value < 1.2 * change.at(shortest).value
@@ -176,6 +184,6 @@
 
 
 def test_memory_is_that_of_a_fresh_process():
-    ballast = bytearray(64 << 20)   # of this process, which is not counted
+    ballast = bytearray(64 << 20)  # of this process, which is not counted
     few, many = module.memory(Sizes(servers=20)), module.memory(Sizes(servers=6000))
     assert few < many and few < len(ballast)
--- a/tests/test_scale_process.py
+++ b/tests/test_scale_process.py
@@ -1,4 +1,5 @@
 """Memory and start of one real process by the size of what it is told: what is measured, and that it is gone."""
+
 import json
 import os
 import socket
@@ -11,9 +12,14 @@
 from oakfork.lab.scale import process
 from oakfork.sockets import configuration
 
-NAMES = ["process by servers: bytes of memory", "process by servers: bytes of memory at the peak",
-         "process by servers: seconds to ready", "process by servers: processor seconds to ready",
-         "process by gateways: bytes of memory", "process by gateways: bytes of memory at the peak"]
+NAMES = [
+    "process by servers: bytes of memory",
+    "process by servers: bytes of memory at the peak",
+    "process by servers: seconds to ready",
+    "process by servers: processor seconds to ready",
+    "process by gateways: bytes of memory",
+    "process by gateways: bytes of memory at the peak",
+]
 
 
 def written(folder, told):
--- a/tests/test_scale_slopes.py
+++ b/tests/test_scale_slopes.py
@@ -1,4 +1,5 @@
 """Lines through measured costs: slope and interval, residual, bend, where a budget is crossed, and the stored form."""
+
 import json
 import math
 import random
@@ -32,7 +33,7 @@
     """By hand: x 1 to 6, y 2 4 5 4 5 7; four degrees of freedom, of which t at 0.975 is 2.776445 by the tables."""
     points = [(x, [float(y)]) for x, y in zip(range(1, 7), (2, 4, 5, 4, 5, 7), strict=True)]
     fit = Measure("a", "seconds", "servers", points).fit()
-    slope = 13.5 / 17.5     # sums of (x - 3.5)(y - 4.5) and of (x - 3.5)^2
+    slope = 13.5 / 17.5  # sums of (x - 3.5)(y - 4.5) and of (x - 3.5)^2
     left = sum((y - 4.5 - slope * (x - 3.5)) ** 2 for x, (y,) in points)
     reach = 2.776445 * math.sqrt(left / 4 / 17.5)
     assert fit.slope == pytest.approx(slope) and fit.intercept == pytest.approx(4.5 - 3.5 * slope)
@@ -57,9 +58,15 @@
     assert 0.92 < held / 400 < 0.98
 
 
-@pytest.mark.parametrize("cost, low, high, linear", [
-    (lambda size: size ** 2, 1.9, 2.1, False), (lambda size: size ** 1.5, 1.4, 1.6, False),
-    (lambda size: math.sqrt(size), 0.4, 0.7, False), (lambda size: size * math.log(size), 1.05, 1.2, True)])
+@pytest.mark.parametrize(
+    "cost, low, high, linear",
+    [
+        (lambda size: size**2, 1.9, 2.1, False),
+        (lambda size: size**1.5, 1.4, 1.6, False),
+        (lambda size: math.sqrt(size), 0.4, 0.7, False),
+        (lambda size: size * math.log(size), 1.05, 1.2, True),
+    ],
+)
 def test_a_bend_is_told_from_a_line(cost, low, high, linear):
     """Of size times its logarithm a line misses less than the twentieth: only the exponent tells."""
     fit = measure(cost).fit()
@@ -81,17 +88,22 @@
 def test_the_interval_elsewhere_is_that_of_the_lines_mean():
     """By hand, with the values of the test of Student's interval: sqrt(1/6 + 6.5^2 / 17.5) of the residual at 10."""
     told = Measure("a", "seconds", "servers", [(x, [float(y)]) for x, y in enumerate((2, 4, 5, 4, 5, 7), 1)])
-    there, reach = told.at(10), 2.776445 * told.fit().residual * math.sqrt(1 / 6 + 6.5 ** 2 / 17.5)
+    there, reach = told.at(10), 2.776445 * told.fit().residual * math.sqrt(1 / 6 + 6.5**2 / 17.5)
     assert there.value == pytest.approx(4.5 + 6.5 * 13.5 / 17.5)
     assert (there.low, there.high) == (pytest.approx(there.value - reach), pytest.approx(there.value + reach))
 
 
-@pytest.mark.parametrize("cost, budget, size", [
-    (lambda size: 2 * size, 100, 100),              # over it from the first
-    (lambda size: 2 * size, 1000, 500),             # between two sizes
-    (lambda size: 2 * size, 8000, 4000),            # at a size the budget is kept, beyond it is not
-    (lambda size: 2 * size, 100_000, 50_000),       # beyond them all
-    (lambda size: 5.0, 6, math.inf), (lambda size: 100 - size / 1000, 101, math.inf)])
+@pytest.mark.parametrize(
+    "cost, budget, size",
+    [
+        (lambda size: 2 * size, 100, 100),  # over it from the first
+        (lambda size: 2 * size, 1000, 500),  # between two sizes
+        (lambda size: 2 * size, 8000, 4000),  # at a size the budget is kept, beyond it is not
+        (lambda size: 2 * size, 100_000, 50_000),  # beyond them all
+        (lambda size: 5.0, 6, math.inf),
+        (lambda size: 100 - size / 1000, 101, math.inf),
+    ],
+)
 def test_where_a_budget_is_crossed(cost, budget, size):
     assert measure(cost).crosses(budget) == pytest.approx(size)
 
@@ -104,8 +116,10 @@
 
 def test_measures_come_back_as_they_were_stored(tmp_path):
     dice = random.Random(3)
-    kept = [measure(lambda size: size * dice.random(), values=3, name="a by servers: seconds"),
-            Measure("b by peers: bytes", "bytes", "peers", [(size, [3.0]) for size in SIZES], {"servers": 40}, "y")]
+    kept = [
+        measure(lambda size: size * dice.random(), values=3, name="a by servers: seconds"),
+        Measure("b by peers: bytes", "bytes", "peers", [(size, [3.0]) for size in SIZES], {"servers": 40}, "y"),
+    ]
     path = store(tmp_path / "scale", "module", kept, {"python": "3"})
     store(tmp_path / "scale", "lists", [measure(lambda size: 1.0, name="c")])
     assert load(tmp_path / "scale") == {told.name: told for told in kept} | {"c": measure(lambda size: 1.0, name="c")}
@@ -115,9 +129,15 @@
     assert row["fit"]["slope"] == pytest.approx(0) and row["fit"]["linear"] is True
 
 
-@pytest.mark.parametrize("points", [
-    [(size, [1.0]) for size in SIZES[:FEWEST - 1]], [(5, [1.0])] * FEWEST,
-    [(size, [1.0]) for size in SIZES[:3]] + [(7, [])], [(size, [1.0]) for size in reversed(SIZES)]])
+@pytest.mark.parametrize(
+    "points",
+    [
+        [(size, [1.0]) for size in SIZES[: FEWEST - 1]],
+        [(5, [1.0])] * FEWEST,
+        [(size, [1.0]) for size in SIZES[:3]] + [(7, [])],
+        [(size, [1.0]) for size in reversed(SIZES)],
+    ],
+)
 def test_fewer_than_four_sizes_with_a_value_and_sizes_out_of_order_are_refused(points):
     with pytest.raises(ScaleError, match="at least 4 sizes"):
         Measure("a", "bytes", "servers", points)
@@ -128,11 +148,14 @@
     flat = measure(lambda size: 100 + dice.uniform(-10, 10), values=5)
     assert flat.fit().linear and flat.fit().low <= 0 and flat.crosses(1_000) == math.inf
     dice = random.Random(5)
-    bent = measure(lambda size: 100 + size ** 2 / SIZES[-1] + dice.uniform(-10, 10), values=5)
+    bent = measure(lambda size: 100 + size**2 / SIZES[-1] + dice.uniform(-10, 10), values=5)
     assert not bent.fit().linear
 
 
 def test_a_line_for_people_names_slope_and_interval():
     told = measure(lambda size: 7 + 3 * size)
-    assert line_of(told) == "change by servers: operations: 3 operations for one more of servers (3 to 3), " + \
-        f"7 at none, residual {told.fit().residual:.3g}"
+    assert (
+        line_of(told)
+        == "change by servers: operations: 3 operations for one more of servers (3 to 3), "
+        + f"7 at none, residual {told.fit().residual:.3g}"
+    )
--- a/tests/test_servers.py
+++ b/tests/test_servers.py
@@ -1,4 +1,5 @@
 """The list of servers, how each is judged, and which gets an RPC."""
+
 import random
 from collections import deque
 
@@ -14,12 +15,14 @@
 def test_servers_that_are_gone_are_forgotten_once_no_rpc_speaks_of_them():
     brain, door, chance, now, most = Brain(birth(0, 1), 0), Door(), random.Random(2), 0, 0
     live, sent = [f"s{number}" for number in range(5)], {}
-    for step in range(400):     # one is replaced every six seconds; old ones answer late or never
+    for step in range(400):  # one is replaced every six seconds; old ones answer late or never
         now += 6 * SECOND
         gone, new = live.pop(0), f"s{step + 5}"
-        entries = tuple(entry(door.server(name), state) for name, state in
-                        [(gone, State.GONE), *((name, State.READY) for name in (*live, new))] if name in door.servers
-                        or state == State.READY)
+        entries = tuple(
+            entry(door.server(name), state)
+            for name, state in [(gone, State.GONE), *((name, State.READY) for name in (*live, new))]
+            if name in door.servers or state == State.READY
+        )
         live.append(new)
         commands = brain.handle(now, face.ServerList(step % 7 == 0, False, entries))
         for rpc in list(sent):
@@ -42,7 +45,7 @@
     brain = gateway(servers=3, plans=())
     brain.quotas.birth = brain.birth = birth(plans=(face.Plan(0, 0, 0, 0, 0, 0, 1, 0, 0),))
     last, chosen = 0, []
-    for now in range(100, 30_000, 300):     # seven at a time; server 0 fails for a second, then is well again
+    for now in range(100, 30_000, 300):  # seven at a time; server 0 fails for a second, then is well again
         sends = []
         for rpc in range(last + 1, last + 8):
             sends += [c for c in brain.handle(now, arrival(rpc)) if isinstance(c, face.Send)]
@@ -78,16 +81,16 @@
     brain, sent = gateway(servers=2), {0: 0, 1: 0}
     brain.desk.lag, brain.servers.methods[0].mean, now = 30.0, 0.5, 100
     for rpc in range(1, 201):
-        brain.servers.all[0].pace, now = 1.5, now + 140     # the one that is well is the slower one
+        brain.servers.all[0].pace, now = 1.5, now + 140  # the one that is well is the slower one
         commands, number, answered = brain.handle(now, arrival(rpc, rpc)), 0, False
         while not answered:
-            [send] = [c for c in commands if isinstance(c, face.Send)]      # nobody is pushed back
+            [send] = [c for c in commands if isinstance(c, face.Send)]  # nobody is pushed back
             sent[send.server] += 1
             now, answered = now + 12, send.server == 0
             commands = brain.handle(now, ended(rpc, number, send.server, Status.OK if answered else Status.FULL))
             number += 1
     assert sent[0] == 200 and sent[1] < 0.2 * 200
-    assert brain.servers.methods[0].mean < 1        # the lag did hide it
+    assert brain.servers.methods[0].mean < 1  # the lag did hide it
 
 
 def test_a_full_fleet_is_not_hammered():
@@ -98,7 +101,7 @@
         while send := next((c for c in commands if isinstance(c, face.Send)), None):
             sends += 1
             commands = brain.handle(1000 + rpc, ended(rpc, brain.rpcs[rpc].sent - 1, send.server, Status.FULL))
-        assert face.PushBack in kinds(commands)     # given up: answered at once
+        assert face.PushBack in kinds(commands)  # given up: answered at once
     assert sends <= 3
     assert kinds(gateway(servers=0).handle(10, arrival(1))) == [face.PushBack]  # nor is an empty one waited for
 
@@ -121,7 +124,7 @@
 
 def test_all_gateways_together_send_a_cold_server_its_part():
     sent = []
-    for index in range(80):     # each has more to send than the cold server, the only one, may get
+    for index in range(80):  # each has more to send than the cold server, the only one, may get
         brain = gateway(index, 80, seed=index, servers=0)
         brain.handle(50 * SECOND, face.ServerList(False, False, (entry(0, State.READY, 50 * SECOND),)))
         for at in range(50 * SECOND, 54 * SECOND, SECOND // 4):
@@ -132,7 +135,7 @@
 
 
 def test_a_method_that_fails_at_a_seldom_seen_server_is_kept_from_it_and_others_are_not():
-    for status in (Status.ERROR, Status.TIMED_OUT, Status.CANCELLED):   # cancelled late: another answered first
+    for status in (Status.ERROR, Status.TIMED_OUT, Status.CANCELLED):  # cancelled late: another answered first
         brain = gateway()
         server, brain.desk.now = brain.servers.all[0], 50 * SECOND
         brain.servers.judge(server, 1, status, METHODS[1].soft_deadline)
@@ -141,7 +144,7 @@
         assert brain.rpcs[1].out[0] != 0
         brain.desk.now = 59 * SECOND
         assert brain.servers.fit(server, 1)
-        server.heard, server.bad = brain.desk.now, 0.0                   # often seen: one failure is not enough
+        server.heard, server.bad = brain.desk.now, 0.0  # often seen: one failure is not enough
         brain.servers.judge(server, 2, status, METHODS[2].soft_deadline)
         assert brain.servers.fit(server, 2)
 
@@ -169,7 +172,7 @@
         for server in brain.servers.all.values():
             server.open.clear()
         chosen[price] = [brain.servers.choose(rpc)[0] < 4 for _ in range(60)].count(True)
-        brain.servers.all[0].open = {(9, 9): 0}     # no more than a preference
+        brain.servers.all[0].open = {(9, 9): 0}  # no more than a preference
         assert brain.servers.rank(brain.servers.all[0]) > brain.servers.rank(brain.servers.all[9])
     assert chosen[0.08] == 60 and chosen[0.0] < 50
 
@@ -181,7 +184,7 @@
     for server in brain.servers.all.values():
         server.heard = 30 * SECOND
     brain.handle(31 * SECOND, face.ServerList(False, False, (entry(12, State.READY, 29 * SECOND),)))
-    brain.servers.all[12].sent_at = 0       # its pause is over
+    brain.servers.all[12].sent_at = 0  # its pause is over
     assert brain.handle(31 * SECOND + 1, arrival(1, 1)).pop(0)[:3] == face.Send(0 + 1, 12, 0)[:3]
     assert not brain.servers.room(brain.servers.all[12])
 
@@ -198,21 +201,21 @@
                 for command in brain.handle(now, event):
                     times += [now] * isinstance(command, face.Subscribe)
             now, events = now + 100, [face.TimeCame(0)]
-            if times and times[-1] == now - 100:    # answered at once: it failed
+            if times and times[-1] == now - 100:  # answered at once: it failed
                 events.append(face.ServerList(False, True, ()))
         first, *pauses = [after - before for before, after in zip([0, *times], times, strict=False)]
         assert first <= 2 * SECOND + 100
         for number, pause in enumerate(pauses):
-            usual = min(2 * SECOND, 2 * SECOND // 3 << number)      # not the settings' ten: six are told
+            usual = min(2 * SECOND, 2 * SECOND // 3 << number)  # not the settings' ten: six are told
             assert usual // 2 <= pause <= 3 * usual // 2 + 300
         assert 20 < len(times) < 40
-    brain = Brain(birth(asks_list=True), 0)     # one that knows no server can't wait
+    brain = Brain(birth(asks_list=True), 0)  # one that knows no server can't wait
     commands = brain.handle(0, face.ServerList(True, False, ())) + brain.handle(1, face.TimeCame(0))
     assert face.Subscribe in kinds(commands)
     firsts = sorted(times[0] for times in asked.values())
-    assert max(sum(at <= first < at + SECOND // 4 for first in firsts) for at in firsts) < 8    # of twenty
+    assert max(sum(at <= first < at + SECOND // 4 for first in firsts) for at in firsts) < 8  # of twenty
     brain.servers.list_pause = 7 * SECOND
-    brain.handle(2, face.ServerList(True, False, (entry(0),)))      # a list has come: the pause is short again
+    brain.handle(2, face.ServerList(True, False, (entry(0),)))  # a list has come: the pause is short again
     assert brain.servers.list_pause == SECOND // 3
 
 
@@ -227,7 +230,7 @@
                 if isinstance(command, face.Send):
                     assert brain.servers.all[command.server].mine
                     brain.handle(51 * SECOND + 100 * rpc + 60, ended(rpc, 0, command.server))
-        for server in brain.servers.all.values():       # where its own have no room, others help, but no cold ones
+        for server in brain.servers.all.values():  # where its own have no room, others help, but no cold ones
             server.not_before = 99 * SECOND if server.mine else 0
         assert not any(brain.servers.all[server].mine for server in brain.servers.choose(asked(brain, 80 * SECOND)))
 
@@ -245,6 +248,6 @@
                     sent.setdefault(command.server, []).append(brain.birth.index)
                     out.append((at + 1_000, brain, at, command.server))
     by_cold = [sent.get(server, []) for server in range(30, 60)]
-    part = 2 * 0.3 * 4 * SECOND / 1_000     # what the ramp lets in meanwhile, of two call-outs at once
+    part = 2 * 0.3 * 4 * SECOND / 1_000  # what the ramp lets in meanwhile, of two call-outs at once
     assert max(map(len, by_cold)) < 1.5 * part and sum(map(len, by_cold)) > 0.4 * 30 * part
     assert max(len(set(gateways)) for gateways in by_cold) <= 11
--- a/tests/test_signals.py
+++ b/tests/test_signals.py
@@ -1,4 +1,5 @@
 """Signals at the instants in which a process can't heed them yet, or no longer does. Pipes hold the process there."""
+
 import json
 import os
 import signal
@@ -21,11 +22,12 @@
     path of its configuration and what lets it go on."""
     pipe, path = tmp_path / "pipe", tmp_path / "here.json"
     os.mkfifo(pipe)
-    if at_import:       # the first large thing that is loaded
+    if at_import:  # the first large thing that is loaded
         (tmp_path / "trio").mkdir()
         (tmp_path / "trio/__init__.py").write_text(
             f"import sys\nopen({str(pipe)!r}).read()\nsys.path.remove({str(tmp_path)!r})\ndel sys.modules['trio']\n"
-            "import trio\nsys.modules['trio'] = trio\n")
+            "import trio\nsys.modules['trio'] = trio\n"
+        )
         path.write_text(json.dumps(told))
     else:
         path.symlink_to(pipe)
@@ -33,10 +35,12 @@
     environment |= {"LB_CONFIG": str(path), "PYTHONPATH": f"{tmp_path}:{ROOT}"}
     process = subprocess.Popen(["/bin/sh", "-c", RUN], env=environment, cwd=ROOT)
     try:
-        with open(pipe, "w") as held_by:     # opens once the process has come there
+        with open(pipe, "w") as held_by:  # opens once the process has come there
+
             def go_on():
                 held_by.write("" if at_import else json.dumps(told))
                 held_by.close()
+
             yield process, path, go_on
     finally:
         process.kill()
@@ -49,6 +53,7 @@
             return rpc(at, path="/-/ready")[0] == 200
         except OSError:
             return False
+
     return asked
 
 
@@ -94,7 +99,7 @@
         link.request("GET", f"/api?client={CUSTOMER}", None, headers(X_Remaining_Ms="2000"))
         answer = link.getresponse()
         assert answer.status == 200 and answer.read().startswith(b"made for")
-        for _ in range(50):     # up to its very end
+        for _ in range(50):  # up to its very end
             w.process.send_signal(signal.SIGHUP)
             w.process.send_signal(signal.SIGTERM)
             time.sleep(0.01)
@@ -107,12 +112,12 @@
     with world(echo) as w:
         other = Discovery([w.list[0]])
         path, text = w.folder / "n0.json", json.dumps(w.told | {"discovery": other.address})
-        path.write_text(text[:len(text) // 2])
+        path.write_text(text[: len(text) // 2])
         w.process.send_signal(signal.SIGHUP)
         time.sleep(0.6)
         assert not other.seen and rpc(w.at)[0] == 200
         with path.open("a") as file:
-            file.write(text[len(text) // 2:])
+            file.write(text[len(text) // 2 :])
         begun = time.monotonic()
         assert until(lambda: other.seen) and time.monotonic() - begun < 1
         other.shutdown()
--- a/tests/world.py
+++ b/tests/world.py
@@ -2,6 +2,7 @@
 
 A call-out has two instants: it is decided (Send), and it begins when its connection is up, at once or to 1.5 s later.
 Rules 2, 3 and 4 hold at the second, which is where the world checks them; until then it may be recalled."""
+
 import heapq
 import random
 
@@ -9,23 +10,48 @@
 from oakfork.brain import Brain
 from oakfork.interface import NEVER_RAN, SECOND, Method, Plan, Repeat, State, Status
 
-METHODS = (Method(20_000, 60_000, Repeat.IDEMPOTENT, "all", 50_000, 1.0, 0.0, False),
-           Method(8_000, 30_000, Repeat.DEDUPLICATED, "cell", 1_500, 2.0, 0.0, False),
-           Method(8_000, 30_000, Repeat.DEDUPLICATED, "all", 15_000, 2.0, 0.2, False),
-           Method(8_000, 20_000, Repeat.NON_IDEMPOTENT, "all", 0, 2.0, 0.0, False))
-PLANS = (Plan(4.0, 8.0, 0, 0.0, 0.0, 0.0, 1.0, 0.0, 1.0),
-         Plan(6.0, 9.0, 0, 7.5, 11.2, 1.0, 1.0, 0.0, 1.0),
-         Plan(20.0, 30.0, 3, 0.0, 0.0, 0.0, 1.0, 0.0, 1.0),
-         Plan(0.0, 0.0, 0, 5.0, 10.0, 2.0, 1.0, 0.0, 1.0))
-SLACK = 160     # beyond the deadline, within which a final answer is in time
+METHODS = (
+    Method(20_000, 60_000, Repeat.IDEMPOTENT, "all", 50_000, 1.0, 0.0, False),
+    Method(8_000, 30_000, Repeat.DEDUPLICATED, "cell", 1_500, 2.0, 0.0, False),
+    Method(8_000, 30_000, Repeat.DEDUPLICATED, "all", 15_000, 2.0, 0.2, False),
+    Method(8_000, 20_000, Repeat.NON_IDEMPOTENT, "all", 0, 2.0, 0.0, False),
+)
+PLANS = (
+    Plan(4.0, 8.0, 0, 0.0, 0.0, 0.0, 1.0, 0.0, 1.0),
+    Plan(6.0, 9.0, 0, 7.5, 11.2, 1.0, 1.0, 0.0, 1.0),
+    Plan(20.0, 30.0, 3, 0.0, 0.0, 0.0, 1.0, 0.0, 1.0),
+    Plan(0.0, 0.0, 0, 5.0, 10.0, 2.0, 1.0, 0.0, 1.0),
+)
+SLACK = 160  # beyond the deadline, within which a final answer is in time
 
 
 def birth(index=0, gateways=1, seed=1, **changes) -> face.Birth:
-    values = dict(seed=seed, index=index, gateways=gateways, zone=0, methods=METHODS, plans=PLANS, mail_per_s=30.0,
-                  most_units=2, settles=False, peers=True, cancel=True, second_copies=True, retry_after=True,
-                  probing=False, max_call_outs=4, asks_list=False, list_patience=SECOND, report_names=(),
-                  report_how="off", drain_grace=5_000, cold_share=0.2, cold_time=15 * SECOND, fall_multiple=2.0,
-                  fall_time=2 * SECOND)
+    values = dict(
+        seed=seed,
+        index=index,
+        gateways=gateways,
+        zone=0,
+        methods=METHODS,
+        plans=PLANS,
+        mail_per_s=30.0,
+        most_units=2,
+        settles=False,
+        peers=True,
+        cancel=True,
+        second_copies=True,
+        retry_after=True,
+        probing=False,
+        max_call_outs=4,
+        asks_list=False,
+        list_patience=SECOND,
+        report_names=(),
+        report_how="off",
+        drain_grace=5_000,
+        cold_share=0.2,
+        cold_time=15 * SECOND,
+        fall_multiple=2.0,
+        fall_time=2 * SECOND,
+    )
     return face.Birth(**(values | changes))
 
 
@@ -41,17 +67,17 @@
     def __init__(self, seed: int, gateways: int, servers: int, trouble=True, **told) -> None:
         self.dice, self.trouble, self.settings = random.Random(seed), trouble, {"probing": False} | told
         self.methods = self.settings.get("methods", METHODS)
-        self.late = (0,)            # how long connections take to come up: drawn from these
+        self.late = (0,)  # how long connections take to come up: drawn from these
         self.now, self.order, self.queue = 1000, 0, []
         self.servers, self.count = servers, gateways
-        self.link_cap = birth().mail_per_s / max(1, gateways - 1)   # frames a second from one to another
+        self.link_cap = birth().mail_per_s / max(1, gateways - 1)  # frames a second from one to another
         self.down_until = [0] * gateways
         self.lives, self.brains = [0] * gateways, [None] * gateways
-        self.told = [{} for _ in range(gateways)]       # server -> state, since
-        self.rpcs, self.next_rpc = {}, 0                # (gateway, life, rpc) -> what is known of it
-        self.stores = {}                                # customer -> ceiling tokens, updated
-        self.frames = {}                                # (gateway, life, peer) -> times
-        self.cut = False                                # no message between gateways arrives
+        self.told = [{} for _ in range(gateways)]  # server -> state, since
+        self.rpcs, self.next_rpc = {}, 0  # (gateway, life, rpc) -> what is known of it
+        self.stores = {}  # customer -> ceiling tokens, updated
+        self.frames = {}  # (gateway, life, peer) -> times
+        self.cut = False  # no message between gateways arrives
         self.log, self.answers = [], {"ok": 0, "pushed back": 0, "aborted": 0}
         for index in range(gateways):
             self.launch(index)
@@ -89,8 +115,9 @@
             return
         if isinstance(event, face.Arrival):
             key = (index, self.lives[index], event.rpc)
-            self.rpcs[key] = dict(ask=event, dl=self.now + event.time_left, over=False, out={}, maybe={}, sent=0,
-                                  stopped=set())
+            self.rpcs[key] = dict(
+                ask=event, dl=self.now + event.time_left, over=False, out={}, maybe={}, sent=0, stopped=set()
+            )
         elif isinstance(event, face.CallOutEnded):
             known = self.rpcs[index, self.lives[index], event.rpc]
             if event.call_out not in known["out"]:
@@ -130,8 +157,8 @@
                 assert recent <= self.link_cap + 3, "more mail than a gateway takes in"
                 if self.cut or not self.carries(index, peer):
                     return
-                for _ in range(dice.choice((0, 1, 1, 1, 1, 1, 1, 2)) if self.trouble else 1):   # lost, doubled
-                    delay = dice.randint(10, 300) if dice.random() < 0.97 or not self.trouble else 9_000    # late
+                for _ in range(dice.choice((0, 1, 1, 1, 1, 1, 1, 2)) if self.trouble else 1):  # lost, doubled
+                    delay = dice.randint(10, 300) if dice.random() < 0.97 or not self.trouble else 9_000  # late
                     self.later(delay, peer, face.PeerFrame(index, data))
             case face.Probe(server):
                 took, status = self.probed(server)
@@ -142,7 +169,8 @@
                 method = self.methods[known["ask"].method]
                 if isinstance(command, face.PushBack) and known["maybe"]:
                     assert method.repeat == Repeat.IDEMPOTENT or (
-                        method.repeat == Repeat.DEDUPLICATED and method.group == "all"), "rule 2: harmful pushback"
+                        method.repeat == Repeat.DEDUPLICATED and method.group == "all"
+                    ), "rule 2: harmful pushback"
                 known["over"] = True
                 self.answers["pushed back" if isinstance(command, face.PushBack) else "aborted"] += 1
             case face.Cancel(rpc, call_out):
@@ -204,8 +232,12 @@
         assert state == State.READY, "rule 3: sent to a server that drains or is gone"
         if since and self.now - since < SECOND:
             # What an earlier process on that machine held does not count.
-            held = sum(k["maybe"][number][1] >= since for k in self.rpcs.values()
-                       for number, where in k["out"].items() if where == server and number in k["maybe"])
+            held = sum(
+                k["maybe"][number][1] >= since
+                for k in self.rpcs.values()
+                for number, where in k["out"].items()
+                if where == server and number in k["maybe"]
+            )
             assert held < self.count, "rule 4: a server just started holds more than one of each gateway"
         known["maybe"][number] = server, self.now
         status = dice.choices(list(Status), (80, 0, 0, 2, 2, 4, 4, 4) if self.trouble else (1, 0, 0, 0, 0, 0, 0, 0))[0]
@@ -213,7 +245,7 @@
         took = left if status == Status.TIMED_OUT else min(left, dice.randint(300, 3_000))
         status, took = self.reached(server, status, took, left)
         status = Status.TIMED_OUT if took == left else status
-        late = dice.choice((0, 0, 500)) if took == left else 0     # the gateway must keep the deadline by itself
+        late = dice.choice((0, 0, 500)) if took == left else 0  # the gateway must keep the deadline by itself
         self.later(took + late, index, face.CallOutEnded(rpc, number, server, took, status, False, 0, ()))
 
     def carries(self, sender: int, receiver: int) -> bool:
@@ -237,8 +269,19 @@
             left = dice.choice((0.5, 0.8, 1.0))
             method = dice.randrange(len(self.methods))
             if self.now >= self.down_until[index]:
-                self.give(index, arrival(self.next_rpc, customer, method, customer % len(PLANS), 1.0,
-                                         customer % self.count, spread, int(self.methods[method].deadline * left)))
+                self.give(
+                    index,
+                    arrival(
+                        self.next_rpc,
+                        customer,
+                        method,
+                        customer % len(PLANS),
+                        1.0,
+                        customer % self.count,
+                        spread,
+                        int(self.methods[method].deadline * left),
+                    ),
+                )
             if self.trouble and dice.random() < 1 / per_second:
                 self.disturb()
             until = self.now + dice.randrange(1, 2 * SECOND // per_second)
