--- a/experiments/external_names.py
+++ b/experiments/external_names.py
@@ -144,6 +144,8 @@
             continue
         for key in data_keys(loaded):
             yield f"key of {path.relative_to(root)}", key
+        for measure in loaded.get("measures", ()) if isinstance(loaded, dict) else ():
+            yield f"measure of {path.relative_to(root)}", measure["name"]
 
 
 def collect(root: Path) -> list[str]:
