--- a/experiments/external_names.py
+++ b/experiments/external_names.py
@@ -102,9 +102,7 @@
 def documentation(tree: ast.AST) -> set[int]:
     """The ids of the constants that are docstrings."""
     return {
-        id(node.value)
-        for node in ast.walk(tree)
-        if isinstance(node, ast.Expr) and isinstance(node.value, ast.Constant)
+        id(node.value) for node in ast.walk(tree) if isinstance(node, ast.Expr) and isinstance(node.value, ast.Constant)
     }
 
 
