--- a/experiments/same_commands.py
+++ b/experiments/same_commands.py
@@ -1,51 +1,83 @@
-"""Prints a digest of every event the decision module is given, and of every command it answers with, over runs of the
-laboratory. Two revisions that print the same lines decide alike, to the byte:
+"""Prints a digest of every event the decision module is given and every command it answers with, over laboratory runs.
+
+Two revisions that print the same lines decide alike, to the byte:
 
     python experiments/same_commands.py experiments/*.toml
 
-Each file is played with the decision module, at the first four points of its sweep, three seeds each.
+Each file is played with the decision module, at the first four points of its sweep, three seeds each. The digest takes
+values by their position and a fixed number for each kind of event and command, so that renaming a type or a field
+leaves it as it is.
 """
 
 import hashlib
+import struct
 import sys
+from collections.abc import Iterable
+from typing import get_args
 
+from oakfork import interface
 from oakfork.brain import Brain
 from oakfork.lab.experiment import read
 from oakfork.lab.world import World
 
 SEEDS = (11, 12, 13)
+POINTS = 4
+# Kinds are numbered by their place in the two unions, events first.
+KINDS = {kind: number for number, kind in enumerate((*get_args(interface.Event), *get_args(interface.Command)))}
+
 
+def encoded(value: object) -> bytes:
+    """The bytes of a value, each with a letter for its type and the length of what can vary in length."""
+    if isinstance(value, bytes):
+        return b"b%d:" % len(value) + value
+    if isinstance(value, str):
+        return b"s" + encoded(value.encode())
+    if isinstance(value, int):  # with bool and IntEnum
+        return b"i%d;" % int(value)
+    if isinstance(value, float):
+        return b"f" + struct.pack("<d", value)
+    if isinstance(value, tuple | list):
+        kind = b"k%d" % KINDS[type(value)] if type(value) in KINDS else b"t"
+        return kind + b"%d(" % len(value) + b"".join(map(encoded, value)) + b")"
+    if value is None:
+        return b"n"
+    raise TypeError(f"no encoding for {type(value).__name__}")
 
-class Recorded:
+
+class Recorder:
     """The decision module, with a digest kept of all that goes in and comes out."""
 
     digest = hashlib.sha256()
     events = commands = 0
 
-    def __init__(self, birth, now):
-        self.brain = Brain(birth, now)
+    def __init__(self, settings: interface.Birth, now: int) -> None:
+        self.module = Brain(settings, now)
+
+    @classmethod
+    def reset(cls) -> None:
+        """Begins a new digest; all instances of a run share one."""
+        cls.digest, cls.events, cls.commands = hashlib.sha256(), 0, 0
 
-    def handle(self, now, event):
-        commands = self.brain.handle(now, event)
-        # What an older revision's events did not have yet is left out where it says nothing.
-        Recorded.digest.update(repr((now, event, commands)).replace(", reserved=False", "").encode())
-        Recorded.events += 1
-        Recorded.commands += len(commands)
+    def handle(self, now: int, event: interface.Event) -> Iterable[interface.Command]:
+        """Passes an event on and adds it and its commands to the digest."""
+        commands = self.module.handle(now, event)
+        Recorder.digest.update(encoded((now, event, commands)))
+        Recorder.events += 1
+        Recorder.commands += len(commands)
         return commands
 
 
 def main() -> None:
+    """Plays the files named on the command line."""
     for path in sys.argv[1:]:
         worlds = {run.point: run.world for run in read(path).runs}
-        for point, world in list(worlds.items())[:4]:
+        for point, world in list(worlds.items())[:POINTS]:
             for seed in SEEDS:
-                Recorded.digest, Recorded.events, Recorded.commands = hashlib.sha256(), 0, 0
-                World(world, Recorded, seed).run()
+                Recorder.reset()
+                World(world, Recorder, seed).run()
                 print(
-                    path,
-                    dict(point),
-                    f"seed {seed}: {Recorded.events} events, {Recorded.commands} commands,",
-                    Recorded.digest.hexdigest()[:16],
+                    f"{path} {dict(point)} seed {seed}: {Recorder.events} events, {Recorder.commands} commands,",
+                    Recorder.digest.hexdigest()[:16],
                     flush=True,
                 )
 
