--- a/experiments/contract_drills.py
+++ b/experiments/contract_drills.py
@@ -8,7 +8,7 @@
 
 import numpy
 
-from oakfork.lab.contractdrill import KINDS, POLICIES, RESERVED, ContractDrill, contract_drill
+from oakfork.lab.contract_drill import KINDS, POLICIES, RESERVED, ContractDrill, contract_drill
 
 
 def play(job: tuple[str, str, int, int]) -> ContractDrill:
--- a/experiments/contract_model.py
+++ b/experiments/contract_model.py
@@ -11,7 +11,7 @@
 from scipy import stats
 
 from oakfork.lab.compare import interval
-from oakfork.lab.contractmodel import WAYS, Model, Result
+from oakfork.lab.contract_model import WAYS, Model, Result
 
 SEEDS, SECONDS, RATE = 8, 30, 400.0
 
--- a/experiments/external_names.py
+++ b/experiments/external_names.py
@@ -20,11 +20,11 @@
 # Classes whose fields are written out by name, with asdict, _asdict, msgspec's JSON encoder or a data file's reader.
 SERIALIZED_CLASSES = {
     "oakfork/control/status.py": ["_Told"],
-    "oakfork/lab/load.py": ["Report"],
-    "oakfork/lab/scale/control.py": ["Planned"],
-    "oakfork/lab/scale/hollow.py": ["One", "Config"],
+    "oakfork/lab/load_generator.py": ["Report"],
+    "oakfork/lab/scale/control_costs.py": ["Planned"],
+    "oakfork/lab/scale/hollow_gateways.py": ["One", "Config"],
     "oakfork/lab/scale/slopes.py": ["Measure", "Fit"],
-    "oakfork/lab/schedule.py": ["Trouble"],
+    "oakfork/lab/fault_schedule.py": ["Trouble"],
     "oakfork/lab/sweep.py": ["Row"],
 }
 SERIALIZED_NAMES = re.compile(r"^(Sizes|Trouble|Row|Report|Measure|Fit|Compared|Difference)$")
--- a/experiments/fleet_codec.py
+++ b/experiments/fleet_codec.py
@@ -5,7 +5,7 @@
 from functools import partial
 
 from oakfork.fleet import codec
-from oakfork.fleet.file import Edition
+from oakfork.fleet.config import Edition
 from oakfork.leases.messages import Ask, Grant
 
 EDITION = Edition(3, 0x1234567890ABCDEF, 0xFEDCBA0987654321)
--- a/experiments/lease_drills.py
+++ b/experiments/lease_drills.py
@@ -10,8 +10,8 @@
 
 import numpy
 
-from oakfork.lab.drills import LeaseDrill, lease_drill
-from oakfork.lab.schedule import HOLDER, Trouble
+from oakfork.lab.fault_schedule import HOLDER, Trouble
+from oakfork.lab.lease_drill import LeaseDrill, lease_drill
 
 LENGTH = 0.4  # seconds, of a lease
 AT_ONCE = 4
--- a/experiments/lease_model.py
+++ b/experiments/lease_model.py
@@ -10,7 +10,7 @@
 from scipy import stats
 
 from oakfork.lab.compare import interval
-from oakfork.lab.leasemodel import Fleet, Result
+from oakfork.lab.lease_model import Fleet, Result
 
 SEEDS, SECONDS, KILL_EVERY = 16, 600, 30 * 10_000
 
--- a/experiments/readiness.py
+++ b/experiments/readiness.py
@@ -13,7 +13,7 @@
 import urllib.request
 from pathlib import Path
 
-from oakfork.lab.rig import free_places, text
+from oakfork.lab.gateway_processes import free_places, text
 
 ROOT = Path(__file__).resolve().parent.parent
 
--- a/experiments/same_commands.py
+++ b/experiments/same_commands.py
@@ -9,7 +9,7 @@
 import hashlib
 import sys
 
-from oakfork.brain import Brain
+from oakfork.decision import Brain
 from oakfork.lab.experiment import read
 from oakfork.lab.world import World
 
--- a/experiments/sockets_and_model.py
+++ b/experiments/sockets_and_model.py
@@ -14,8 +14,8 @@
 import trio
 
 from oakfork.lab import experiment as files
-from oakfork.lab.load import Generator, Load, Report
-from oakfork.lab.loopback import DiscoveryStandIn, ServerStandIn, SocketTier, Work, entry
+from oakfork.lab.fake_services import DiscoveryStandIn, ServerStandIn, SocketTier, Work, entry
+from oakfork.lab.load_generator import Generator, Load, Report
 from oakfork.lab.sweep import play
 
 GATEWAYS, SERVERS, CORES, WORK_MS, SECONDS = 3, 8, 3, 60.0, 10.0
--- a/oakfork/__main__.py
+++ b/oakfork/__main__.py
@@ -4,13 +4,13 @@
 
 if __name__ == "__main__":
     if len(sys.argv) > 1:
-        from oakfork.command import main
+        from oakfork.cli import main
 
         main(prog_name="oakfork")
     else:
-        from oakfork import early
+        from oakfork import early_signals
 
-        early.hold()
+        early_signals.hold()
         from oakfork.serving import serve
 
         serve()
--- a/oakfork/command.py
+++ b/oakfork/cli.py
@@ -74,7 +74,7 @@
 
 
 @click.group(
-    cls=Group, later={"control": "oakfork.control.command"}, context_settings={"help_option_names": ["-h", "--help"]}
+    cls=Group, later={"control": "oakfork.control.cli"}, context_settings={"help_option_names": ["-h", "--help"]}
 )
 @click.version_option(__version__, message="%(version)s")
 def main() -> None:
@@ -97,7 +97,7 @@
 
 def _faults(path: str) -> list[str]:
     """All that the schema or the gateway's own reading finds wrong in a configuration."""
-    from oakfork.format import faults_in
+    from oakfork.configuration_schema import faults_in
     from oakfork.sockets.configuration import read
 
     try:
@@ -145,7 +145,7 @@
 @click.argument("file", type=click.Path(dir_okay=False))
 def fleet_check(file: str) -> None:
     """Check a fleet file: its edition, or each fault by its path."""
-    from oakfork.fleet.file import read
+    from oakfork.fleet.config import read
 
     try:
         told = read(file)
@@ -163,7 +163,7 @@
 @click.argument("file", type=click.Path(dir_okay=False))
 def contracts_check(file: str) -> None:
     """Check a book of contracts: each fault by its path, or the instant at which too much is reserved."""
-    from oakfork.contracts.book import read
+    from oakfork.contracts.contracts_file import read
 
     try:
         book = read(file)
@@ -174,7 +174,7 @@
     )
 
 
-@main.group(cls=Later, later={"scale": "oakfork.lab.scale.command"})
+@main.group(cls=Later, later={"scale": "oakfork.lab.scale.cli"})
 def lab() -> None:
     """The laboratory: a model of the gateways' world, experiments with it, load on real gateways."""
     _needs("hdrh", "numpy", "scipy", what="lab")
@@ -313,7 +313,7 @@
 @click.option("--keep", type=click.Path(file_okay=False), help="A folder for the record of each drill.")
 def lab_drill_leases(seeds: tuple[int, ...], keep: str | None, **told: Any) -> int:
     """Kill, stop, cut and delay gateways that take turns at one task; say what the witness saw."""
-    from oakfork.lab.drills import lease_drill
+    from oakfork.lab.lease_drill import lease_drill
 
     broken = 0
     for seed in seeds:
@@ -345,7 +345,7 @@
 @click.option("--gateways", type=click.IntRange(3, 64), default=3, show_default=True)
 def lab_drill_contracts(**told: Any) -> None:
     """All others ask for three times what the sites can do; say what a tenant got of what is reserved, by second."""
-    from oakfork.lab.contractdrill import RESERVED, contract_drill
+    from oakfork.lab.contract_drill import RESERVED, contract_drill
 
     try:
         drill = contract_drill(**told)
@@ -372,7 +372,7 @@
 @click.option("--json", "as_json", is_flag=True, help="The result as JSON.")
 def lab_load(gateways: tuple[str, ...], as_json: bool, **told: Any) -> int:
     """Send an open-loop load to real gateways on loopback addresses, HOST:PORT each."""
-    from oakfork.lab.load import Load, run
+    from oakfork.lab.load_generator import Load, run
 
     try:
         report = run(Load(gateways=gateways, **told))
--- a/oakfork/contracts/dealer.py
+++ b/oakfork/contracts/allocation.py
@@ -3,7 +3,7 @@
 
 from typing import Mapping, NamedTuple, Sequence
 
-from oakfork.contracts.parts import LENDABLE
+from oakfork.contracts.shares import LENDABLE
 
 HEADROOM = 5, 4  # a gateway gets a quarter more than it was asked for lately
 MOST_LENDERS = 16  # of one borrower, for its messages are bounded
--- a/oakfork/contracts/book.py
+++ b/oakfork/contracts/contracts_file.py
@@ -9,8 +9,8 @@
 from pathlib import Path
 from typing import Any, Iterator, Sequence
 
+from oakfork.configuration_schema import against, read_toml
 from oakfork.errors import BookError
-from oakfork.format import against, read_toml
 
 LARGEST_FILE = 1024 * 1024
 MOST_SITES = 10  # all unions of sites are looked at
--- a/oakfork/contracts/runner.py
+++ b/oakfork/contracts/runner.py
@@ -10,15 +10,15 @@
 import trio
 from structlog.stdlib import BoundLogger
 
-from oakfork.contracts import dealer, parts
-from oakfork.contracts.book import Book, Contract, read
-from oakfork.contracts.gate import Gate, Tenant, Verdict, fitting
+from oakfork.contracts import allocation, shares
+from oakfork.contracts.admission import Gate, Tenant, Verdict, fitting
+from oakfork.contracts.contracts_file import Book, Contract, read
 from oakfork.contracts.messages import Borrow, Dealt, Demand, Lent
 from oakfork.errors import BookError, told
-from oakfork.fleet.file import FleetFile
-from oakfork.fleet.post import Post, clock
+from oakfork.fleet.config import FleetFile
+from oakfork.fleet.transport import Post, clock
+from oakfork.leases.durations import Lengths
 from oakfork.leases.fence import Verdict as Judged
-from oakfork.leases.lengths import Lengths
 from oakfork.leases.runner import Leases
 
 DEAL_EVERY = 0.5  # seconds
@@ -42,7 +42,7 @@
         self.gateways, self.life = len(file.addresses), leases.life
         self.lengths = Lengths(LOAN, file.lengths.drift, 0, LOAN)
         self.gate = Gate(clock())
-        self.parts: dict[int, parts.Part] = {}  # as many as contracts and sites
+        self.parts: dict[int, shares.Part] = {}  # as many as contracts and sites
         self.asked: Counter[int] = Counter()  # legs in this interval, by key
         self.demand: dict[int, float] = {}  # legs a second, by key
         self.heard: dict[int, tuple[int, dict[int, int]]] = {}  # as allotter: gateway -> when, demand by key
@@ -70,9 +70,9 @@
         for key in [key for key in self.parts if key not in rates]:
             del self.parts[key]
         for key, rate in rates.items():
-            even = parts.even_part(rate, self.me, self.gateways)
+            even = shares.even_part(rate, self.me, self.gateways)
             self.parts[key] = (
-                self.parts[key]._replace(even=even) if key in self.parts else parts.started(even, now, self.lengths)
+                self.parts[key]._replace(even=even) if key in self.parts else shares.started(even, now, self.lengths)
             )
         self.looked = -FRESH
 
@@ -102,7 +102,7 @@
                 key: Tenant(
                     self.parts[key].now(now),
                     contract.burst / self.gateways,
-                    parts.even(contract.open, self.me, self.gateways),
+                    shares.even(contract.open, self.me, self.gateways),
                     contract.goes,
                 )
                 for key, contract in held.items()
@@ -168,9 +168,9 @@
             rates = self.rates()
             deals: list[list[Any]] = [[] for _ in range(self.gateways)]
             for key, rate in rates.items():
-                even = [parts.even_part(rate, gateway, self.gateways) for gateway in range(self.gateways)]
+                even = [shares.even_part(rate, gateway, self.gateways) for gateway in range(self.gateways)]
                 demand = {gateway: asked[key] for gateway, (_, asked) in self.heard.items() if key in asked}
-                for gateway, deal in enumerate(dealer.dealt(even, demand)):
+                for gateway, deal in enumerate(allocation.dealt(even, demand)):
                     deals[gateway].append((key, deal.lends, list(deal.borrows)))
             for gateway, rows in enumerate(deals):
                 for first in range(0, len(rows), 8):
@@ -216,7 +216,7 @@
         now, (until, lends, _) = clock(), self.deal.get(borrow.key, (0, 0, ()))
         if borrow.gateway != sender or borrow.key not in self.parts or now >= until or borrow.length > LOAN:
             return
-        self.parts[borrow.key], amount = parts.lends(
+        self.parts[borrow.key], amount = shares.lends(
             self.parts[borrow.key], now, sender, borrow.amount, lends, self.lengths
         )
         self.looked = -FRESH
@@ -226,5 +226,5 @@
     def _lent(self, sender: int, lent: Lent) -> None:
         key, lender, asked_at = self.out.get(lent.number, (-1, -1, 0))
         if lent.life == self.life and lent.lender == sender == lender and lent.key == key and key in self.parts:
-            self.parts[key] = parts.borrowed(self.parts[key], clock(), lender, lent.amount, asked_at, self.lengths)
+            self.parts[key] = shares.borrowed(self.parts[key], clock(), lender, lent.amount, asked_at, self.lengths)
             self.looked = -FRESH
--- a/oakfork/contracts/parts.py
+++ b/oakfork/contracts/shares.py
@@ -9,7 +9,7 @@
 
 from typing import NamedTuple
 
-from oakfork.leases.lengths import Lengths
+from oakfork.leases.durations import Lengths
 
 LENDABLE = 9, 10  # of its even part: a tenth stays for a demand that comes at once
 MOST_LOANS = 64  # given or taken, a contract and gateway: those over are refused
--- a/oakfork/control/agent.py
+++ b/oakfork/control/agent.py
@@ -10,9 +10,9 @@
 from structlog.stdlib import BoundLogger
 
 from oakfork.control import events, records
+from oakfork.control.engine import Engine, clock
 from oakfork.control.follower import Follower
 from oakfork.control.messages import Kind, Position
-from oakfork.control.service import Engine, clock
 from oakfork.control.state import Records
 
 SLICE = 64  # records looked at, servers handed over at once
--- a/oakfork/control/schema.py
+++ b/oakfork/control/change_schema.py
@@ -7,11 +7,11 @@
 from collections import Counter
 from typing import Any, Mapping, Sequence
 
+from oakfork.configuration_schema import against
 from oakfork.control import records
 from oakfork.control.messages import LARGEST_FRAME, LONGEST_NAME, Kind, Row
 from oakfork.control.state import Records
 from oakfork.errors import ChangeError
-from oakfork.format import against
 
 LARGEST_CHANGE = 1 << 20  # bytes of the file
 LARGEST_SUBMITTED = LARGEST_FRAME - 1024  # of what is sent for it, by zlib
--- a/oakfork/control/command.py
+++ b/oakfork/control/cli.py
@@ -1,6 +1,6 @@
 """The command line of this package, `oakfork control`. Everything that it runs is imported where it is used.
 
-Exit codes as in oakfork/command.py: 0 done; 1 it went wrong while running; 2 the user's mistake.
+Exit codes as in oakfork/cli.py: 0 done; 1 it went wrong while running; 2 the user's mistake.
 """
 
 import json
@@ -81,26 +81,26 @@
 @click.argument("file", type=click.Path(dir_okay=False))
 def publisher(file: str) -> None:
     """Run the publisher that a file sets."""
-    from oakfork.control import file as files, running
+    from oakfork.control import config as files, processes
 
     try:
         told = files.read_publisher(file)
     except ControlError as error:
         _refuse(error, file)
-    _run(running.publisher(told, _log(told.who)))
+    _run(processes.publisher(told, _log(told.who)))
 
 
 @control.command("relay")
 @click.argument("file", type=click.Path(dir_okay=False))
 def relay(file: str) -> None:
     """Run the relay that a file sets."""
-    from oakfork.control import file as files, running
+    from oakfork.control import config as files, processes
 
     try:
         told = files.read_relay(file)
     except ControlError as error:
         _refuse(error, file)
-    _run(running.relay(told, _log(told.who)))
+    _run(processes.relay(told, _log(told.who)))
 
 
 @control.command("follow")
@@ -109,9 +109,9 @@
 @click.option("--seed", type=int, default=1, show_default=True, help="Of the chance in its pauses.")
 def follow(relays: tuple[str, ...], name: str, seed: int) -> None:
     """Follow relays, HOST:PORT each, as a gateway does; print a line of JSON for what comes into force."""
-    from oakfork.control import running
+    from oakfork.control import processes
 
-    _run(running.follow(name, relays, seed, _log(name), lambda told: click.echo(json.dumps(told))))
+    _run(processes.follow(name, relays, seed, _log(name), lambda told: click.echo(json.dumps(told))))
 
 
 @control.command("publish")
@@ -126,15 +126,15 @@
 )
 def publish(file: str, place: str, seconds: float) -> None:
     """Submit a change file: print the position at which it is in force, or each fault. Safe to repeat."""
-    from oakfork.control import client, schema
+    from oakfork.control import change_schema, client
 
     try:
         with open(file, "rb") as opened:
-            data = opened.read(schema.LARGEST_CHANGE + 1)
+            data = opened.read(change_schema.LARGEST_CHANGE + 1)
     except OSError as error:
         _refuse(ChangeError([f"the file: {error}"]), file)
-    id = schema.id_of(data)
-    faults = schema.parse(data)[1] if id is None else []
+    id = change_schema.id_of(data)
+    faults = change_schema.parse(data)[1] if id is None else []
     if faults:
         _refuse(ChangeError(faults), file)
     verdict = _run(client.publish(place, id, data, seconds), file)
@@ -155,10 +155,10 @@
 )
 def status(place: str, as_json: bool, seconds: float) -> None:
     """Ask the publisher what is in force everywhere, who is behind and since when."""
-    from oakfork.control import client, shown
+    from oakfork.control import client, status_text
 
     told = _run(client.status(place, seconds))
-    click.echo(json.dumps(told, sort_keys=True) if as_json else shown.text(told))
+    click.echo(json.dumps(told, sort_keys=True) if as_json else status_text.text(told))
 
 
 @control.command("try")
--- a/oakfork/control/client.py
+++ b/oakfork/control/client.py
@@ -6,11 +6,11 @@
 
 import trio
 
-from oakfork.control.links import Link, connect
+from oakfork.control.change_schema import submitted
+from oakfork.control.connections import Link, connect
 from oakfork.control.messages import Ask, Goodbye, Message, Status, Submit, Verdict, pack, unpack_down
-from oakfork.control.schema import submitted
 from oakfork.errors import Break, PublisherSilent
-from oakfork.sockets.endings import Ending
+from oakfork.sockets.outcomes import Ending
 
 ANSWER = 10.0  # seconds for one answer
 PATIENCE = 30.0  # for all of them
--- a/oakfork/control/file.py
+++ b/oakfork/control/config.py
@@ -6,10 +6,10 @@
 from pathlib import Path
 from typing import Any
 
-from oakfork.control.feeder import EGRESS, LINKS
-from oakfork.control.store import MOST_IDS, MOST_LOG
+from oakfork.configuration_schema import ADDRESS, against, read_toml
+from oakfork.control.database import MOST_IDS, MOST_LOG
+from oakfork.control.follower_server import EGRESS, LINKS
 from oakfork.errors import ControlError
-from oakfork.format import ADDRESS, against, read_toml
 from oakfork.sockets.configuration import Address, address
 
 LARGEST_FILE = 64 * 1024
--- a/oakfork/control/links.py
+++ b/oakfork/control/connections.py
@@ -14,8 +14,8 @@
 from oakfork.control.messages import LARGEST_FRAME
 from oakfork.errors import AddressTaken, Break
 from oakfork.sockets.configuration import Address, address
-from oakfork.sockets.endings import Ending
-from oakfork.sockets.heads import bound
+from oakfork.sockets.http_connection import bound
+from oakfork.sockets.outcomes import Ending
 
 AT_ONCE = 65_536  # bytes read at once
 OUTBOX = 8 * 1024 * 1024  # bytes that wait to go
--- a/oakfork/control/service.py
+++ b/oakfork/control/engine.py
@@ -13,9 +13,9 @@
 from structlog.stdlib import BoundLogger
 
 from oakfork.control import events
-from oakfork.control.links import Link, connect
+from oakfork.control.connections import Link, connect
+from oakfork.control.database import Database
 from oakfork.control.messages import Position, unpack_down, unpack_up
-from oakfork.control.store import Database
 from oakfork.errors import Break, DatabaseError, told
 
 QUEUE = 256  # events that wait
--- a/oakfork/control/feeder.py
+++ b/oakfork/control/follower_server.py
@@ -9,6 +9,7 @@
 from collections import deque
 from typing import Callable
 
+from oakfork.control.encoded_frames import Changed, Ranges
 from oakfork.control.events import (
     UNKNOWN,
     Close,
@@ -26,7 +27,8 @@
     TimeCame,
     Wake,
 )
-from oakfork.control.frames import Changed, Ranges
+from oakfork.control.follower_registry import Roster
+from oakfork.control.follower_session import Below, Turn
 from oakfork.control.framing import framed
 from oakfork.control.history import History
 from oakfork.control.messages import (
@@ -49,9 +51,7 @@
     pack,
 )
 from oakfork.control.pacing import Pace
-from oakfork.control.roster import Roster
 from oakfork.control.state import Store, whole
-from oakfork.control.turns import Below, Turn
 
 LINKS = 4_096  # at once: all 2,700 gateways at one relay, and as many again that aren't noticed to be gone
 NAMELESS = 10_000  # milliseconds for a Hello
--- a/oakfork/control/turns.py
+++ b/oakfork/control/follower_session.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from oakfork.control.frames import Changed
+from oakfork.control.encoded_frames import Changed
 from oakfork.control.messages import EMPTY, Position
 
 
--- a/oakfork/control/running.py
+++ b/oakfork/control/processes.py
@@ -7,17 +7,17 @@
 import trio
 from structlog.stdlib import BoundLogger
 
-from oakfork.control import schema
+from oakfork.control import change_schema
+from oakfork.control.config import PublisherFile, RelayFile
+from oakfork.control.connections import listen
+from oakfork.control.database import Database
+from oakfork.control.engine import Engine, serve
 from oakfork.control.events import InForce
-from oakfork.control.feeder import Feeder
-from oakfork.control.file import PublisherFile, RelayFile
 from oakfork.control.follower import Follower
-from oakfork.control.links import listen
+from oakfork.control.follower_server import Feeder
 from oakfork.control.publisher import Publisher
 from oakfork.control.relay import Relay
-from oakfork.control.service import Engine, serve
 from oakfork.control.state import Records
-from oakfork.control.store import Database
 
 MOST_RELAYS = 64  # named in a status
 
@@ -57,13 +57,13 @@
     """A publisher of a new term, upon what its database holds; the term is durable when this returns. Waits for the
     disk: call it in a thread."""
     loaded, database.loaded = database.loaded, None
-    index = schema.Index(loaded.records)
+    index = change_schema.Index(loaded.records)
     machine = _Publisher(
         file.who,
         database.begin_term(file.above_term),
         loaded.position,
         loaded.records,
-        schema.parse,
+        change_schema.parse,
         lambda store, rows: index.contradictions(rows),
         entries=loaded.entries,
         ids=loaded.ids,
--- a/oakfork/control/publisher.py
+++ b/oakfork/control/publisher.py
@@ -32,10 +32,10 @@
     Unkept,
     Wake,
 )
-from oakfork.control.feeder import EGRESS, LINKS, Feeder
+from oakfork.control.follower_server import EGRESS, LINKS, Feeder
 from oakfork.control.history import History
 from oakfork.control.messages import Ask, Message, Position, Row, Status, Submit, Verdict, pack
-from oakfork.control.others import Others
+from oakfork.control.other_publishers import Others
 from oakfork.control.state import Store, as_changes, summed, whole
 from oakfork.control.status import status
 from oakfork.errors import DatabaseError
--- a/oakfork/control/relay.py
+++ b/oakfork/control/relay.py
@@ -19,8 +19,8 @@
     TimeCame,
     Wake,
 )
-from oakfork.control.feeder import EGRESS, LINKS, Feeder
 from oakfork.control.follower import Follower
+from oakfork.control.follower_server import EGRESS, LINKS, Feeder
 from oakfork.control.messages import EMPTY, Ask, Beat, Past, Position, Recall, Report, Status, pack
 from oakfork.control.state import Store
 from oakfork.control.status import status
--- a/oakfork/control/status.py
+++ b/oakfork/control/status.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from oakfork.control.feeder import Feeder
+from oakfork.control.follower_server import Feeder
 from oakfork.control.messages import Position
 
 NAMED = 256  # of those behind, and of those gone, the worst; a frame holds that with names of any allowed length
--- a/oakfork/control/trial.py
+++ b/oakfork/control/trial.py
@@ -13,7 +13,7 @@
 
 import trio
 
-from oakfork.control import client, shown
+from oakfork.control import client, status_text
 from oakfork.errors import PublisherSilent, RigError
 
 START, SPREAD, END = 15.0, 20.0, 5.0  # seconds to start one, to be in force everywhere, to end
@@ -61,7 +61,7 @@
     def start(self, name: str, *words: str) -> None:
         with open(self.folder / f"{name}.log", "wb") as log:
             self.all[name] = subprocess.Popen(
-                [sys.executable, "-m", "oakfork.control.command", *words],
+                [sys.executable, "-m", "oakfork.control.cli", *words],
                 stdin=subprocess.DEVNULL,
                 stdout=log,
                 stderr=subprocess.STDOUT,
@@ -151,4 +151,4 @@
         if verdict.position is None:
             raise RigError("the example was refused: " + "; ".join(verdict.faults))
         say(f"published: position {verdict.position.term}.{verdict.position.number}")
-        say(shown.text(everywhere(publisher, lambda told: shown.whole(told, verdict.position, FOLLOWERS))))
+        say(status_text.text(everywhere(publisher, lambda told: status_text.whole(told, verdict.position, FOLLOWERS))))
--- a/oakfork/brain/__init__.py
+++ b/oakfork/decision/__init__.py
@@ -4,4 +4,4 @@
 the commands to carry out (oakfork/interface.py). Times are whole tenths of a millisecond. No I/O, clock or
 global state. The mechanism is docs/design.md's; "Exception" marks a departure and says when it acts."""
 
-from oakfork.brain.rpcs import Brain as Brain
+from oakfork.decision.rpcs import Brain as Brain
--- a/oakfork/brain/links.py
+++ b/oakfork/decision/peer_links.py
@@ -4,8 +4,8 @@
 from dataclasses import dataclass, field
 from typing import Callable
 
-from oakfork import interface as face, peerwire as wire
-from oakfork.brain.desk import Desk, Rpc
+from oakfork import interface as face, peer_codec as wire
+from oakfork.decision.context import Desk, Rpc
 from oakfork.interface import SECOND
 
 
--- a/oakfork/brain/quotas.py
+++ b/oakfork/decision/quotas.py
@@ -3,10 +3,10 @@
 from dataclasses import dataclass, field
 from typing import Generator
 
-from oakfork import interface as face, peerwire as wire
-from oakfork.brain.desk import MASK, Desk, Hold, Rpc, Shares
-from oakfork.brain.links import Links
-from oakfork.brain.servers import Servers
+from oakfork import interface as face, peer_codec as wire
+from oakfork.decision.context import MASK, Desk, Hold, Rpc, Shares
+from oakfork.decision.peer_links import Links
+from oakfork.decision.servers import Servers
 from oakfork.interface import SECOND
 
 
--- a/oakfork/brain/rpcs.py
+++ b/oakfork/decision/rpcs.py
@@ -2,11 +2,11 @@
 
 from typing import Generator
 
-from oakfork import interface as face, peerwire as wire
-from oakfork.brain.desk import Desk, Rpc
-from oakfork.brain.links import Links
-from oakfork.brain.quotas import Quotas
-from oakfork.brain.servers import Server, Servers
+from oakfork import interface as face, peer_codec as wire
+from oakfork.decision.context import Desk, Rpc
+from oakfork.decision.peer_links import Links
+from oakfork.decision.quotas import Quotas
+from oakfork.decision.servers import Server, Servers
 from oakfork.interface import NEVER_RAN, SECOND, Repeat, Status
 
 
--- a/oakfork/brain/servers.py
+++ b/oakfork/decision/servers.py
@@ -3,8 +3,8 @@
 import bisect
 from dataclasses import dataclass, field
 
-from oakfork import interface as face, peerwire as wire
-from oakfork.brain.desk import MASK, Desk, MethodRow, Rpc
+from oakfork import interface as face, peer_codec as wire
+from oakfork.decision.context import MASK, Desk, MethodRow, Rpc
 from oakfork.interface import SECOND, Repeat, State, Status
 
 
--- a/oakfork/fleet/codec.py
+++ b/oakfork/fleet/codec.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from oakfork.contracts.messages import Borrow, Dealt, Demand, Lent
-from oakfork.fleet.file import Edition
+from oakfork.fleet.config import Edition
 from oakfork.leases.messages import Act, Acted, Ask, Clock, Free, Grant, Hello, Number, Refusal, Release, Small
 
 LARGEST = 1200  # bytes of a frame: under what any path carries whole
--- a/oakfork/fleet/file.py
+++ b/oakfork/fleet/config.py
@@ -11,9 +11,9 @@
 from pathlib import Path
 from typing import Any, NamedTuple
 
+from oakfork.configuration_schema import ADDRESS, against, read_toml
 from oakfork.errors import FleetError
-from oakfork.format import ADDRESS, against, read_toml
-from oakfork.leases.lengths import Lengths
+from oakfork.leases.durations import Lengths
 from oakfork.sockets.configuration import Address, address
 
 LARGEST_FILE = 256 * 1024
--- a/oakfork/fleet/part.py
+++ b/oakfork/fleet/services.py
@@ -7,8 +7,8 @@
 from structlog.stdlib import BoundLogger
 
 from oakfork.errors import FleetError
-from oakfork.fleet.file import read
-from oakfork.fleet.post import Post
+from oakfork.fleet.config import read
+from oakfork.fleet.transport import Post
 from oakfork.leases.runner import Drill, Leases
 from oakfork.sockets.configuration import Surroundings
 from oakfork.sockets.discovery import rows
--- a/oakfork/fleet/post.py
+++ b/oakfork/fleet/transport.py
@@ -8,8 +8,8 @@
 import trio
 
 from oakfork.fleet import codec
-from oakfork.fleet.file import FleetFile
-from oakfork.sockets.heads import bound
+from oakfork.fleet.config import FleetFile
+from oakfork.sockets.http_connection import bound
 
 OUTSIDER = 0xFFFF  # what is no gateway of the fleet, such as a stand-in that is acted upon
 Handler = Callable[[int, Any], None]  # the sender's number, the message
--- a/oakfork/lab/policies.py
+++ b/oakfork/lab/baseline_policies.py
@@ -10,7 +10,7 @@
 from typing import Callable, Sequence
 
 from oakfork import interface as face
-from oakfork.brain import Brain
+from oakfork.decision import Brain
 from oakfork.interface import NEVER_RAN, SECOND, Repeat, State, Status
 
 WINDOW = 2 * SECOND  # the central bucket counts in windows: short against a burst, long against a call
--- a/oakfork/lab/contractdrill.py
+++ b/oakfork/lab/contract_drill.py
@@ -9,11 +9,11 @@
 
 import trio
 
-from oakfork.lab.drills import plain_configuration
-from oakfork.lab.load import Generator, Load
-from oakfork.lab.loopback import DiscoveryStandIn, ServerStandIn, Work, entry
-from oakfork.lab.rig import Rig
-from oakfork.lab.schedule import Trouble
+from oakfork.lab.fake_services import DiscoveryStandIn, ServerStandIn, Work, entry
+from oakfork.lab.fault_schedule import Trouble
+from oakfork.lab.gateway_processes import Rig
+from oakfork.lab.lease_drill import plain_configuration
+from oakfork.lab.load_generator import Generator, Load
 
 RESERVED, CAPACITY, PRESS = 30.0, 90.0, 3.0  # legs a second; all others ask for PRESS times the capacity
 GREED = 1.5  # the tenant asks for more than is reserved, or nothing shows a lack
--- a/oakfork/lab/contractmodel.py
+++ b/oakfork/lab/contract_model.py
@@ -10,11 +10,11 @@
 
 import numpy
 
-from oakfork.contracts import dealer, parts
-from oakfork.contracts.gate import Gate, Tenant
+from oakfork.contracts import allocation, shares
+from oakfork.contracts.admission import Gate, Tenant
 from oakfork.interface import SECOND
-from oakfork.lab.clock import Kind, Loop
-from oakfork.leases.lengths import Lengths
+from oakfork.lab.event_loop import Kind, Loop
+from oakfork.leases.durations import Lengths
 
 LENGTHS = Lengths(2 * SECOND, 10, 0, 2 * SECOND)
 DEAL, KEPT, DELAY = SECOND // 2, 4, 50
@@ -41,8 +41,8 @@
         self.way, self.gateways, self.rate, self.loss = way, gateways, rate, loss
         self.loop, self.dice, self.seed = Loop(), numpy.random.default_rng(seed), seed
         self.loop.now = 100 * SECOND
-        self.even = [parts.even_part(rate, me, gateways) for me in range(gateways)]
-        self.parts = [parts.Part(even, 0) for even in self.even]
+        self.even = [shares.even_part(rate, me, gateways) for me in range(gateways)]
+        self.parts = [shares.Part(even, 0) for even in self.even]
         self.gates = [Gate(self.loop.now) for _ in range(gateways)]
         self.owner = Gate(self.loop.now)
         # Every gateway is asked, a tenth of them for half of it all; these change at half time.
@@ -119,11 +119,11 @@
             self.demand[me] = 0.4 * self.asked[me] * SECOND / DEAL + 0.6 * self.demand[me]
             self.asked[me] = 0
         if not self.dead[0] <= now < self.dead[1]:
-            for me, deal in enumerate(dealer.dealt(self.even, self.heard)):
+            for me, deal in enumerate(allocation.dealt(self.even, self.heard)):
                 self.send(self._dealt, me, deal)
         self.loop.after(DEAL, Kind.TIMER, self.deal)
 
-    def _dealt(self, me: int, deal: dealer.Deal) -> None:
+    def _dealt(self, me: int, deal: allocation.Deal) -> None:
         self.deals[me] = self.loop.now + KEPT * DEAL, deal.lends, deal.borrows
         self.send(self.heard.__setitem__, me, round(self.demand[me] * 1000))
 
@@ -136,12 +136,12 @@
     def _borrow(self, me: int, lender: int, amount: int, asked_at: int) -> None:
         until, lends, _ = self.deals[lender]
         if self.loop.now < until:
-            self.parts[lender], amount = parts.lends(self.parts[lender], self.loop.now, me, amount, lends, LENGTHS)
+            self.parts[lender], amount = shares.lends(self.parts[lender], self.loop.now, me, amount, lends, LENGTHS)
             if amount:
                 self.send(self._lent, me, lender, amount, asked_at)
 
     def _lent(self, me: int, lender: int, amount: int, asked_at: int) -> None:
-        self.parts[me] = parts.borrowed(self.parts[me], self.loop.now, lender, amount, asked_at, LENGTHS)
+        self.parts[me] = shares.borrowed(self.parts[me], self.loop.now, lender, amount, asked_at, LENGTHS)
 
     def run(self, seconds: int, greed: float = 1.5) -> Result:
         begun = self.loop.now
--- a/oakfork/lab/crowd.py
+++ b/oakfork/lab/customers.py
@@ -7,11 +7,11 @@
 
 from oakfork import interface as face
 from oakfork.interface import SECOND
-from oakfork.lab.checker import Watched
-from oakfork.lab.clock import Kind
-from oakfork.lab.plan import MethodPlan, PlanOfCustomers
-from oakfork.lab.stage import Exchange, Stage
-from oakfork.lab.tier import Gateway
+from oakfork.lab.environment import Exchange, Stage
+from oakfork.lab.event_loop import Kind
+from oakfork.lab.gateway_model import Gateway
+from oakfork.lab.invariant_checker import Watched
+from oakfork.lab.world_config import MethodPlan, PlanOfCustomers
 
 SHIFT = 10 * SECOND  # the gateways that a customer comes through most change so often
 
--- a/oakfork/lab/stage.py
+++ b/oakfork/lab/environment.py
@@ -4,11 +4,11 @@
 from typing import Any, Callable, Mapping, Protocol, Sequence
 
 from oakfork import interface as face
-from oakfork.lab.checker import Checker, Watched
-from oakfork.lab.clock import Loop
-from oakfork.lab.fleet import Job, Server
-from oakfork.lab.plan import WorldPlan
-from oakfork.lab.tally import Tally
+from oakfork.lab.event_loop import Loop
+from oakfork.lab.invariant_checker import Checker, Watched
+from oakfork.lab.run_metrics import Tally
+from oakfork.lab.server_model import Job, Server
+from oakfork.lab.world_config import WorldPlan
 
 
 class Policy(Protocol):
--- a/oakfork/lab/experiment.py
+++ b/oakfork/lab/experiment.py
@@ -10,12 +10,12 @@
 from pathlib import Path
 from typing import Any, Iterator
 
-from oakfork.birth import tenths
+from oakfork.configuration_schema import against, read_toml
 from oakfork.errors import ExperimentError
-from oakfork.format import against, read_toml
 from oakfork.interface import SECOND, Repeat
-from oakfork.lab import plan
-from oakfork.lab.policies import POLICIES
+from oakfork.lab import world_config
+from oakfork.lab.baseline_policies import POLICIES
+from oakfork.settings import tenths
 
 LARGEST_FILE = 256 * 1024
 MOST_RUNS = 5_000
@@ -224,7 +224,7 @@
     policy: str
     seed: int
     point: tuple[tuple[str, Any], ...]
-    world: plan.WorldPlan
+    world: world_config.WorldPlan
 
     @property
     def key(self) -> str:
@@ -300,14 +300,14 @@
     return True
 
 
-def _world(told: dict[str, Any], faults: list[dict[str, Any]]) -> plan.WorldPlan:
+def _world(told: dict[str, Any], faults: list[dict[str, Any]]) -> world_config.WorldPlan:
     repeats = {
         "idempotent": Repeat.IDEMPOTENT,
         "deduplicated": Repeat.DEDUPLICATED,
         "non-idempotent": Repeat.NON_IDEMPOTENT,
     }
     servers, clients, links = told["servers"], told["clients"], told["links"]
-    return plan.WorldPlan(
+    return world_config.WorldPlan(
         seconds=told["seconds"],
         gateways=told["gateways"],
         zones=told["zones"],
@@ -321,7 +321,7 @@
         probe_price=told["probe_price"],
         connection_price=told["connection_price"],
         methods=tuple(
-            plan.MethodPlan(
+            world_config.MethodPlan(
                 m["name"],
                 m["share"],
                 tenths(m["work_ms"]),
@@ -336,8 +336,8 @@
             )
             for m in told["methods"]
         ),
-        plans=tuple(plan.PlanOfCustomers(**p) for p in told["plans"]),
-        servers=plan.ServerPlan(
+        plans=tuple(world_config.PlanOfCustomers(**p) for p in told["plans"]),
+        servers=world_config.ServerPlan(
             servers["count"],
             servers["cores"],
             servers["waiting"],
@@ -348,10 +348,10 @@
             round(servers["fall_s"] * SECOND),
             servers["cells"],
         ),
-        clients=plan.ClientPlan(
+        clients=world_config.ClientPlan(
             clients["retries"], tenths(clients["wait_ms"]), clients["heeds_advice"], clients["uneven"]
         ),
-        links=plan.LinkPlan(
+        links=world_config.LinkPlan(
             tenths(links["client_ms"]),
             tenths(links["server_ms"]),
             tenths(links["peer_ms"]),
@@ -362,10 +362,12 @@
             round(links["idle_s"] * SECOND),
             tenths(links["connect_ms"]),
         ),
-        discovery=plan.DiscoveryPlan(tenths(told["discovery"]["late_ms"]), tenths(told["discovery"]["notice_ms"])),
-        counter=plan.CounterPlan(tenths(told["counter"]["takes_ms"]), tenths(told["counter"]["patience_ms"])),
+        discovery=world_config.DiscoveryPlan(
+            tenths(told["discovery"]["late_ms"]), tenths(told["discovery"]["notice_ms"])
+        ),
+        counter=world_config.CounterPlan(tenths(told["counter"]["takes_ms"]), tenths(told["counter"]["patience_ms"])),
         faults=tuple(
-            plan.Fault(
+            world_config.Fault(
                 f["kind"], round(f["at_s"] * SECOND), round(f["until_s"] * SECOND), f["share"], f["size"], f["zone"]
             )
             for f in faults
--- a/oakfork/lab/loopback.py
+++ b/oakfork/lab/fake_services.py
@@ -17,7 +17,7 @@
 import trio
 
 from oakfork.errors import Break
-from oakfork.sockets.heads import Link, Message
+from oakfork.sockets.http_connection import Link, Message
 
 MOST_CONNECTIONS = 2000
 
--- a/oakfork/lab/witness.py
+++ b/oakfork/lab/fenced_resource.py
@@ -12,7 +12,7 @@
 import trio
 
 from oakfork.fleet import codec
-from oakfork.fleet.post import OUTSIDER, clock
+from oakfork.fleet.transport import OUTSIDER, clock
 from oakfork.leases import fence
 from oakfork.leases.messages import Act, Acted, Hello
 
--- a/oakfork/lab/tier.py
+++ b/oakfork/lab/gateway_model.py
@@ -3,11 +3,11 @@
 from typing import Sequence
 
 from oakfork import interface as face
-from oakfork.door import Door
+from oakfork.index_table import Door
 from oakfork.interface import SECOND, State, Status
-from oakfork.lab.clock import Kind
-from oakfork.lab.fleet import Server
-from oakfork.lab.stage import CallOut, Exchange, Policy, Stage
+from oakfork.lab.environment import CallOut, Exchange, Policy, Stage
+from oakfork.lab.event_loop import Kind
+from oakfork.lab.server_model import Server
 
 EVERYONE = 0xFFFF
 
--- a/oakfork/lab/rig.py
+++ b/oakfork/lab/gateway_processes.py
@@ -17,10 +17,10 @@
 import trio
 
 from oakfork.errors import RigError
-from oakfork.lab.ports import free_places, text
-from oakfork.lab.relay import Relays, socket_here
-from oakfork.lab.schedule import HOLDER, Trouble
-from oakfork.lab.witness import Witness
+from oakfork.lab.datagram_relay import Relays, socket_here
+from oakfork.lab.fault_schedule import HOLDER, Trouble
+from oakfork.lab.fenced_resource import Witness
+from oakfork.lab.port_allocator import free_places, text
 
 WITNESS = "witness"
 READY = 20.0  # seconds in which a process has to be ready
--- a/oakfork/lab/checker.py
+++ b/oakfork/lab/invariant_checker.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 
 from oakfork.interface import SECOND, Repeat
-from oakfork.lab.plan import MethodPlan, PlanOfCustomers, WorldPlan
+from oakfork.lab.world_config import MethodPlan, PlanOfCustomers, WorldPlan
 
 MOST_LINES = 50  # told of each rule; all are counted
 
--- a/oakfork/lab/drills.py
+++ b/oakfork/lab/lease_drill.py
@@ -8,11 +8,11 @@
 
 import trio
 
-from oakfork.fleet.post import clock
-from oakfork.lab import schedule
-from oakfork.lab.rig import Rig
-from oakfork.lab.schedule import Trouble
-from oakfork.lab.witness import faults, gap
+from oakfork.fleet.transport import clock
+from oakfork.lab import fault_schedule
+from oakfork.lab.fault_schedule import Trouble
+from oakfork.lab.fenced_resource import faults, gap
+from oakfork.lab.gateway_processes import Rig
 
 
 def plain_configuration(index: int, listen: str, gateways: int) -> dict[str, Any]:
@@ -65,7 +65,7 @@
 ) -> LeaseDrill:
     """Plays one schedule; the record goes to `keep`. Raises RigError where the processes don't start."""
     scale = length_ms / 1000
-    drawn = troubles if troubles is not None else schedule.draw(seed, gateways, seconds, scale, range(voters))
+    drawn = troubles if troubles is not None else fault_schedule.draw(seed, gateways, seconds, scale, range(voters))
 
     def fleet(index: int, addresses: list[str], witness: str) -> dict[str, Any]:
         return {
@@ -115,7 +115,7 @@
         result = trio.run(rig.run, play)
     if keep is not None:
         keep.mkdir(parents=True, exist_ok=True)
-        schedule.write(
+        fault_schedule.write(
             keep / f"leases-{seed}.json",
             drawn,
             seed=seed,
--- a/oakfork/lab/leasemodel.py
+++ b/oakfork/lab/lease_model.py
@@ -11,12 +11,12 @@
 import numpy
 
 from oakfork.fleet.codec import pack, unpack
-from oakfork.fleet.file import Edition
+from oakfork.fleet.config import Edition
 from oakfork.interface import SECOND
-from oakfork.lab.clock import Kind, Loop
-from oakfork.lab.relay import HEADERS
+from oakfork.lab.datagram_relay import HEADERS
+from oakfork.lab.event_loop import Kind, Loop
 from oakfork.leases import holder, voter
-from oakfork.leases.lengths import Lengths
+from oakfork.leases.durations import Lengths
 from oakfork.leases.messages import Ask, Free, Grant, Refusal, Release
 
 EDITION = Edition(1, (1 << 63) - 1, 0)
--- a/oakfork/lab/load.py
+++ b/oakfork/lab/load_generator.py
@@ -12,7 +12,7 @@
 
 from oakfork.errors import Break, ConfigurationError, LoadError
 from oakfork.sockets.configuration import Address, address
-from oakfork.sockets.heads import Link, connect
+from oakfork.sockets.http_connection import Link, connect
 
 MOST_RPCS = 1_000_000
 BEHIND = 0.010  # seconds: later than that, the generator itself was late
--- a/oakfork/lab/scale/added.py
+++ b/oakfork/lab/scale/added_latency.py
@@ -16,10 +16,10 @@
 import trio
 
 from oakfork.errors import RigError
-from oakfork.lab.scale.addedparties import Parties, Served, listed
-from oakfork.lab.scale.addedtier import MAIL_PER_S, PROGRAM, TRACED, Block, Row, Tier, play
+from oakfork.lab.scale.added_latency_backends import Parties, Served, listed
+from oakfork.lab.scale.added_latency_gateways import MAIL_PER_S, PROGRAM, TRACED, Block, Row, Tier, play
 from oakfork.lab.scale.slopes import Measure, line_of
-from oakfork.lab.scale.traced import ADMISSION, CALL_OUT, PARTS
+from oakfork.lab.scale.traced_gateway import ADMISSION, CALL_OUT, PARTS
 
 GROUP = "added"
 DIRECT, THROUGH, TRACED_THROUGH = KINDS = ("direct", "through", "traced through")
--- a/oakfork/lab/scale/addedparties.py
+++ b/oakfork/lab/scale/added_latency_backends.py
@@ -17,9 +17,9 @@
 import trio
 
 from oakfork.errors import Break, RigError
-from oakfork.lab.loopback import DiscoveryStandIn, ServerStandIn, Work, entry
-from oakfork.sockets.endings import Ending
-from oakfork.sockets.heads import Message
+from oakfork.lab.fake_services import DiscoveryStandIn, ServerStandIn, Work, entry
+from oakfork.sockets.http_connection import Message
+from oakfork.sockets.outcomes import Ending
 
 LIFE = 900.0  # seconds
 MOST_SERVED = 200_000
--- a/oakfork/lab/scale/addedtier.py
+++ b/oakfork/lab/scale/added_latency_gateways.py
@@ -15,18 +15,18 @@
 import trio
 
 from oakfork.errors import Break, RigError
-from oakfork.lab.load import Generator, Load
-from oakfork.lab.ports import free_places, text
-from oakfork.lab.relay import Relays
-from oakfork.lab.scale import traced
-from oakfork.lab.scale.addedparties import ROOT
-from oakfork.sockets.heads import Link, connect, plain
+from oakfork.lab.datagram_relay import Relays
+from oakfork.lab.load_generator import Generator, Load
+from oakfork.lab.port_allocator import free_places, text
+from oakfork.lab.scale import traced_gateway
+from oakfork.lab.scale.added_latency_backends import ROOT
+from oakfork.sockets.http_connection import Link, connect, plain
 
 READY = 60.0  # seconds in which the gateways of a tier have to be ready
 LEAVING = 12.0  # seconds in which they have to leave
 CUSTOMERS, METHOD, PLAN = 100, "read", "basic"
 MAIL_PER_S = 100.0  # frames that a gateway takes in; the module paces those to one peer by it
-PROGRAM, TRACED = "oakfork", traced.__name__
+PROGRAM, TRACED = "oakfork", traced_gateway.__name__
 
 
 def settings(aim_ms: float) -> dict[str, Any]:
@@ -120,7 +120,10 @@
         environment = {key: value for key, value in os.environ.items() if not key.startswith("LB_")}
         try:
             for index in range(self.gateways):
-                paths = {"LB_CONFIG": str(self._path(index, "json")), traced.FILE: str(self._path(index, "trace"))}
+                paths = {
+                    "LB_CONFIG": str(self._path(index, "json")),
+                    traced_gateway.FILE: str(self._path(index, "trace")),
+                }
                 if self.fleet:
                     paths["LB_FLEET"] = str(self._path(index, "toml"))
                 with open(self._path(index, "log"), "wb") as log:
--- a/oakfork/lab/scale/budget.py
+++ b/oakfork/lab/scale/budget.py
@@ -191,13 +191,13 @@
 class Today:
     """What the program does, where a figure rests on it; a test compares each with the code."""
 
-    row: float = 16  # servers that a gateway keeps to, or chooses from (brain/servers.py)
-    retry_s: float = 0.25  # between two asks to a silent owner (brain/quotas.py)
-    silent_after: float = 2  # asks in a row without an answer (brain/quotas.py)
-    wait_part: float = 0.1  # of the soft deadline, for an answer (brain/quotas.py)
-    tries: float = 3  # of an ask, where the slice has spent or the plan has a ceiling (brain/quotas.py)
+    row: float = 16  # servers that a gateway keeps to, or chooses from (decision/servers.py)
+    retry_s: float = 0.25  # between two asks to a silent owner (decision/quotas.py)
+    silent_after: float = 2  # asks in a row without an answer (decision/quotas.py)
+    wait_part: float = 0.1  # of the soft deadline, for an answer (decision/quotas.py)
+    tries: float = 3  # of an ask, where the slice has spent or the plan has a ceiling (decision/quotas.py)
     watch_s: float = 1.0  # that a watch without news takes (sockets/discovery.py)
-    body: float = 64 * 1024  # bytes of an answer of discovery that are taken in at most (sockets/heads.py)
+    body: float = 64 * 1024  # bytes of an answer of discovery that are taken in at most (sockets/http_connection.py)
     told_s: float = 6.0  # the longest way of a change of the list, whatever failed (sockets/discovery.py)
 
 
--- a/oakfork/lab/scale/capacitycontrol.py
+++ b/oakfork/lab/scale/capacity_control.py
@@ -2,8 +2,8 @@
 beside what the smaller sizes foretell."""
 
 from oakfork.lab.scale.budget import DAY, MS, Budget
-from oakfork.lab.scale.capacityfigures import WHOLE, Figure, Row, exact, plain
-from oakfork.lab.scale.capacityroles import Sums
+from oakfork.lab.scale.capacity_figures import WHOLE, Figure, Row, exact, plain
+from oakfork.lab.scale.capacity_roles import Sums
 
 GROUP = "control"
 
@@ -52,7 +52,7 @@
             "part of a core of publisher and relays together, the mean day",
             [store.at(SERVING, gateways) + store.at(SERVING_CHANGE, gateways) * rate],
             budget.machines,
-            "oakfork/control/feeder.py; the budget is a core of each machine set aside",
+            "oakfork/control/follower_server.py; the budget is a core of each machine set aside",
         ),
         Row(
             "s from acknowledged to in force, the last gateway",
--- a/oakfork/lab/scale/capacitydays.py
+++ b/oakfork/lab/scale/capacity_days.py
@@ -1,8 +1,8 @@
 """The tables of days that are not the mean one, and of the time added."""
 
 from oakfork.lab.scale.budget import HOUR, MINUTE, MS, View, cold_budget, sharing
-from oakfork.lab.scale.capacityfigures import NOT_MEASURED, Figure, Row, Store, exact, markdown, plain
-from oakfork.lab.scale.capacityroles import (
+from oakfork.lab.scale.capacity_figures import NOT_MEASURED, Figure, Row, Store, exact, markdown, plain
+from oakfork.lab.scale.capacity_roles import (
     ASKING,
     LIST,
     NEWS,
@@ -130,7 +130,7 @@
             "requests that a cold server takes without a fall",
             both(lambda view: held),
             None,
-            "pauses: brain/servers.py",
+            "pauses: decision/servers.py",
         ),
         Row(
             "gateways that share it where connections have a price",
@@ -162,7 +162,7 @@
             "part of the tenants whose owner is in another region",
             exact(away),
             budget.beyond,
-            "part of the RPCs that wait: brain/quotas.py",
+            "part of the RPCs that wait: decision/quotas.py",
         ),
         row("asks a second without an answer, of one gateway", exact(budget.asked * away)),
         row("... sent up to so often where a slice has spent or a ceiling stands", exact(sums.today.tries)),
@@ -188,7 +188,7 @@
             "bytes a second of greetings, a gateway that starts meanwhile, first minute",
             start / MINUTE,
             budget.traffic,
-            "again and again, rarer: brain/links.py",
+            "again and again, rarer: decision/peer_links.py",
         ),
         row("requests decided by slices while apart, all gateways", exact(budget.requests * away * budget.apart)),
     ]
--- a/oakfork/lab/scale/capacitymissing.py
+++ b/oakfork/lab/scale/capacity_gaps.py
@@ -4,9 +4,9 @@
 from dataclasses import dataclass
 
 from oakfork.lab.scale.budget import DAY, MINUTE, MS
-from oakfork.lab.scale.capacitydays import DAYS, added_by, added_ms, lost
-from oakfork.lab.scale.capacityfigures import NOT_MEASURED, SURE, Figure, exact, markdown, origin, plain
-from oakfork.lab.scale.capacityroles import (
+from oakfork.lab.scale.capacity_days import DAYS, added_by, added_ms, lost
+from oakfork.lab.scale.capacity_figures import NOT_MEASURED, SURE, Figure, exact, markdown, origin, plain
+from oakfork.lab.scale.capacity_roles import (
     ASKING,
     CHANGE,
     LISTED,
--- a/oakfork/lab/scale/capacityroles.py
+++ b/oakfork/lab/scale/capacity_roles.py
@@ -3,7 +3,7 @@
 from typing import Callable
 
 from oakfork.lab.scale.budget import DAY, MINUTE, MS, Budget, Open, Today, View
-from oakfork.lab.scale.capacityfigures import Figure, Row, Store, exact
+from oakfork.lab.scale.capacity_figures import Figure, Row, Store, exact
 
 OWN, ASKS, SERVED = "rpc at its owner", "rpc that asks", "ask served"
 CHANGE, LIST, MEMORY = "change of one server", "whole list", "process by servers: bytes of memory"
@@ -99,8 +99,13 @@
             "the list, one pool: the configuration has no form for a route or a service",
         ),
         Row("... gateways", both(lambda view: exact(view.gateways)), None, "settings, read once"),
-        Row("ms of processor, an RPC at its owner", own, budget.added_ms, "sixteen servers in a row: brain/servers.py"),
-        Row("ms of processor, an RPC that asks", asks, budget.added_ms, "an owner by hash: brain/quotas.py"),
+        Row(
+            "ms of processor, an RPC at its owner",
+            own,
+            budget.added_ms,
+            "sixteen servers in a row: decision/servers.py",
+        ),
+        Row("ms of processor, an RPC that asks", asks, budget.added_ms, "an owner by hash: decision/quotas.py"),
         Row(
             "part of a core for deciding, at the peak",
             both(
@@ -114,7 +119,7 @@
             "frames a second sent, asks and answers",
             both(lambda view: at(f"{ASKING}: frames a second sent", sums.asks(view))),
             None,
-            "coalesced, paced: brain/links.py",
+            "coalesced, paced: decision/peer_links.py",
         ),
         Row(
             "memory, the whole process, every tenant with a bucket",
@@ -142,7 +147,7 @@
             "part of a core for asks served",
             both(lambda view: sums.store.at(seconds(SERVED, "peers"), view.gateways) * sums.asks(view)),
             budget.core,
-            "brain/quotas.py; counts only where asks are control",
+            "decision/quotas.py; counts only where asks are control",
         ),
         Row(
             "bytes a second received, asks and answers",
@@ -210,7 +215,7 @@
             "bytes a second in the first minute, all reply",
             both(lambda view: store.at(in_bytes(START), view.gateways) / MINUTE),
             budget.traffic,
-            "greetings: brain/links.py",
+            "greetings: decision/peer_links.py",
         ),
         Row(
             "... none replies",
@@ -222,7 +227,7 @@
             "bytes of the whole list; the budget is the program's own bound of an answer",
             both(lambda view: store.at(LISTED, view.servers)),
             sums.today.body,
-            "one call; a longer answer is refused, and nothing is told any more: sockets/heads.py",
+            "one call; a longer answer is refused, and nothing is told any more: sockets/http_connection.py",
         ),
         Row(
             "... a second, over the first minute",
@@ -378,4 +383,4 @@
         ),
         Row("... the budget of a core", sums.both(lambda view: exact(budget.core) / sums.an_ask(view)), None),
     ]
-    return [row._replace(why=row.why or "brain/quotas.py, brain/links.py") for row in rows]
+    return [row._replace(why=row.why or "decision/quotas.py, decision/peer_links.py") for row in rows]
--- a/oakfork/lab/scale/capacity.py
+++ b/oakfork/lab/scale/capacity_tables.py
@@ -6,10 +6,10 @@
 from typing import Callable
 
 from oakfork.errors import ScaleError
-from oakfork.lab.scale import capacitycontrol, capacitydays as days, capacitymissing, capacityroles as roles
+from oakfork.lab.scale import capacity_control, capacity_days as days, capacity_gaps, capacity_roles as roles
 from oakfork.lab.scale.budget import Budget, Open, Today
-from oakfork.lab.scale.capacityfigures import NOT_MEASURED, SURE, WHOLE, Row, Store, markdown, plain, shown
-from oakfork.lab.scale.capacityroles import Sums
+from oakfork.lab.scale.capacity_figures import NOT_MEASURED, SURE, WHOLE, Row, Store, markdown, plain, shown
+from oakfork.lab.scale.capacity_roles import Sums
 
 MARKED = re.compile(r"^<!-- table: (?P<name>[a-z ]+) -->\n(?P<body>.*?)^<!-- end of table -->$", re.M | re.S)
 MARKER = re.compile(r"^<!-- (?:table: .*|end of table) -->$", re.M)
@@ -99,11 +99,11 @@
     found = {"budget": _budget(sums), "assumptions": _assumptions(sums)}
     found |= {name: shown(columns, rows(sums), groups) for name, rows in BY_VIEW.items()}
     found["apart"] = shown([columns[0]], days.apart(sums), groups)
-    found["relayed"] = shown([capacitycontrol.gateways_of(sums.budget)], capacitycontrol.relayed(sums), groups)
-    found["agreed"] = shown(capacitycontrol.AGREED, capacitycontrol.agreed(sums), groups)
+    found["relayed"] = shown([capacity_control.gateways_of(sums.budget)], capacity_control.relayed(sums), groups)
+    found["agreed"] = shown(capacity_control.AGREED, capacity_control.agreed(sums), groups)
     found["added"] = shown(["p50", "p99"], days.added(sums), groups)
     found["parts"] = days.parts(sums)
-    found["missing"] = capacitymissing.missing(sums)
+    found["missing"] = capacity_gaps.missing(sums)
     return found | {"slopes": _slopes(sums), "runs": _runs(sums)}
 
 
--- a/oakfork/lab/scale/command.py
+++ b/oakfork/lab/scale/cli.py
@@ -11,8 +11,15 @@
 from oakfork.errors import MISTAKE, WRONG, OakforkError, lines
 
 GROUPS = {
-    name: f"oakfork.lab.scale.{name}" for name in ("module", "process", "frames", "lists", "added", "control")
-} | {"faults": "oakfork.lab.scale.controlfaults", "leases": "oakfork.lab.scale.capacityleases"}
+    "module": "oakfork.lab.scale.module_costs",
+    "process": "oakfork.lab.scale.process_costs",
+    "frames": "oakfork.lab.scale.peer_frames",
+    "lists": "oakfork.lab.scale.server_lists",
+    "added": "oakfork.lab.scale.added_latency",
+    "control": "oakfork.lab.scale.control_costs",
+    "faults": "oakfork.lab.scale.control_faults",
+    "leases": "oakfork.lab.scale.lease_costs",
+}
 STORED = "experiments/scale"
 
 
@@ -31,7 +38,7 @@
 
 
 def _page(page: Path, folder: Path, check: bool) -> int:
-    from oakfork.lab.scale.capacity import tables, written
+    from oakfork.lab.scale.capacity_tables import tables, written
 
     try:
         text = page.read_text()
--- a/oakfork/lab/scale/control.py
+++ b/oakfork/lab/scale/control_costs.py
@@ -15,11 +15,11 @@
 
 from oakfork.control.messages import EMPTY
 from oakfork.errors import RigError
-from oakfork.lab.scale import beside as besides, made
-from oakfork.lab.scale.fleetplay import FULL, PUBLISHER, Fleet, Shape, drawn
-from oakfork.lab.scale.fleetwitness import Acked
-from oakfork.lab.scale.hollow import now_ms
-from oakfork.lab.scale.process import memory
+from oakfork.lab.scale import generated_state, real_gateways as besides
+from oakfork.lab.scale.fleet_run import FULL, PUBLISHER, Fleet, Shape, drawn
+from oakfork.lab.scale.fleet_verifier import Acked
+from oakfork.lab.scale.hollow_gateways import now_ms
+from oakfork.lab.scale.process_costs import memory
 from oakfork.lab.scale.slopes import Measure
 
 GROUP = "control"
@@ -52,7 +52,7 @@
 
 SMALL = Sizes(
     (4, 6, 8, 12, 16),
-    Shape(made.SMALL, 4, 1, 2, 1),
+    Shape(generated_state.SMALL, 4, 1, 2, 1),
     1.0,
     2,
     0.1,
@@ -129,7 +129,7 @@
     def __init__(self, sizes: Sizes, gateways: int, told: Callable[[str], None]) -> None:
         self.sizes, self.told, self.gateways = sizes, told, gateways
         self.shape = sizes.shape._replace(gateways=gateways, processes=min(sizes.shape.processes, gateways))
-        self.changes = made.Changes(self.shape.sizes, sizes.seed)
+        self.changes = generated_state.Changes(self.shape.sizes, sizes.seed)
         self.more: dict[str, Any] = {}
 
     def run(self) -> Played:
@@ -149,7 +149,9 @@
             fleet = Fleet(Path(folder), self.shape, sizes.seed)
 
             async def play(fleet: Fleet) -> None:
-                await fleet.faults(plan, made.Changes(self.shape.sizes, sizes.seed, paired=True), 0.5, sizes.settled)
+                await fleet.faults(
+                    plan, generated_state.Changes(self.shape.sizes, sizes.seed, paired=True), 0.5, sizes.settled
+                )
 
             trio.run(fleet.run, play)
             if found := fleet.judged():
@@ -235,7 +237,7 @@
             "spread": fleet.spread(acked),
         }
 
-    async def _sets(self, fleet: Fleet, sets: Sequence[made.Change], operators: int) -> None:
+    async def _sets(self, fleet: Fleet, sets: Sequence[generated_state.Change], operators: int) -> None:
         """Several operators at once, one after another each, until all is in force everywhere."""
         left, failed = list(sets)[::-1], []
 
--- a/oakfork/lab/scale/controlfaults.py
+++ b/oakfork/lab/scale/control_faults.py
@@ -5,7 +5,7 @@
 import sys
 from typing import Any, Callable
 
-from oakfork.lab.scale.control import SMALL, Player, Sizes
+from oakfork.lab.scale.control_costs import SMALL, Player, Sizes
 from oakfork.lab.scale.slopes import Measure
 
 GROUP = "faults"
--- a/oakfork/lab/scale/fleetplay.py
+++ b/oakfork/lab/scale/fleet_run.py
@@ -18,15 +18,15 @@
 import trio
 
 from oakfork.control import client
-from oakfork.control.feeder import EGRESS
+from oakfork.control.follower_server import EGRESS
 from oakfork.control.messages import EMPTY, Position
 from oakfork.errors import PublisherSilent, RigError
-from oakfork.lab.ports import free_places, text
-from oakfork.lab.scale import fleetwitness, made
-from oakfork.lab.scale.fleetwitness import Acked, End, Reached
-from oakfork.lab.scale.hollow import now_ms
-from oakfork.lab.scale.process import memory, processor_seconds
-from oakfork.lab.scale.ways import Way
+from oakfork.lab.port_allocator import free_places, text
+from oakfork.lab.scale import fleet_verifier, generated_state
+from oakfork.lab.scale.faulty_connections import Way
+from oakfork.lab.scale.fleet_verifier import Acked, End, Reached
+from oakfork.lab.scale.hollow_gateways import now_ms
+from oakfork.lab.scale.process_costs import memory, processor_seconds
 
 START, END = 90.0, 15.0  # seconds until all have begun, until all have ended
 PATIENCE = 60.0  # for a verdict, also with the publisher killed and started again
@@ -39,7 +39,7 @@
     """Of a fleet. The publisher's egress is above the default so that a play's relays, which begin with nothing, have
     the state soon."""
 
-    sizes: made.Sizes = made.SMALL
+    sizes: generated_state.Sizes = generated_state.SMALL
     gateways: int = 60
     processes: int = 2
     relays: int = 3
@@ -48,7 +48,7 @@
     relay_egress: int = EGRESS  # bytes a second
 
 
-FULL = Shape(made.FULL, 2_700, 5, 12, 7)
+FULL = Shape(generated_state.FULL, 2_700, 5, 12, 7)
 
 
 class Fault(NamedTuple):
@@ -122,7 +122,9 @@
 
     async def _begin(self) -> None:
         shape = self.shape
-        self.start_at = await trio.to_thread.run_sync(made.preload, self.folder / "control.sqlite", shape.sizes)
+        self.start_at = await trio.to_thread.run_sync(
+            generated_state.preload, self.folder / "control.sqlite", shape.sizes
+        )
         self.operator = await self._way(self.publisher)
         for number in range(shape.relays):
             for other in self._upstreams(number):
@@ -177,7 +179,7 @@
         kind = "relay" if name.startswith("relay") else "publisher"
         with open(self.folder / f"{name}.log", "ab") as log:
             self.processes[name] = subprocess.Popen(
-                [sys.executable, "-m", "oakfork.control.command", kind, str(self.folder / f"{name}.toml")],
+                [sys.executable, "-m", "oakfork.control.cli", kind, str(self.folder / f"{name}.toml")],
                 stdin=subprocess.DEVNULL,
                 stdout=log,
                 stderr=log,
@@ -212,7 +214,7 @@
         path.write_text(json.dumps(config))
         with open(path.with_suffix(".told"), "wb") as told, open(path.with_suffix(".log"), "wb") as log:
             self.processes[name] = subprocess.Popen(
-                [sys.executable, "-m", "oakfork.lab.scale.hollow", str(path)],
+                [sys.executable, "-m", "oakfork.lab.scale.hollow_gateways", str(path)],
                 stdin=subprocess.DEVNULL,
                 stdout=told,
                 stderr=log,
@@ -278,9 +280,9 @@
             for reason, count in told["counts"].items():
                 counts[reason] = counts.get(reason, 0) + count
         self.counts = counts
-        return fleetwitness.judge(
-            fleetwitness.Seen(
-                made.base(self.shape.sizes),
+        return fleet_verifier.judge(
+            fleet_verifier.Seen(
+                generated_state.base(self.shape.sizes),
                 self.start_at.number,
                 self.acked,
                 self.reached,
@@ -321,7 +323,7 @@
 
     # What is done
 
-    async def publish(self, change: made.Change) -> Position:
+    async def publish(self, change: generated_state.Change) -> Position:
         """Until it is acknowledged; raises RigError where it is not. The one that comes upon a fault of the publisher's
         also waits until that answers again."""
         verdict, failed, ms = None, None, 0
@@ -392,7 +394,9 @@
             for way in ways:
                 way.open()
 
-    async def faults(self, plan: Sequence[Fault], changes: made.Changes, every: float, settled: float) -> None:
+    async def faults(
+        self, plan: Sequence[Fault], changes: generated_state.Changes, every: float, settled: float
+    ) -> None:
         """Strikes as planned while change sets go on, then waits until all have the last one."""
         begun, done = trio.current_time(), trio.Event()
 
--- a/oakfork/lab/scale/made.py
+++ b/oakfork/lab/scale/generated_state.py
@@ -10,9 +10,9 @@
 from typing import Any, Iterator, NamedTuple, Sequence
 
 from oakfork.control import records
+from oakfork.control.database import Database
 from oakfork.control.messages import Kind, Position, Row
 from oakfork.control.state import Records, as_changes, summed, whole
-from oakfork.control.store import Database
 
 NAMES = {Kind.SERVICE: "services", Kind.SERVER: "servers", Kind.ROUTE: "routes", Kind.TENANT: "tenants"}
 ZONES = 16  # 41,000 servers in them are 2,562 a zone
--- a/oakfork/lab/scale/hollow.py
+++ b/oakfork/lab/scale/hollow_gateways.py
@@ -1,5 +1,6 @@
 """Many followers in one process, for plays: the real machine, the real connections, and a store that is hollow. Each
-has its own position and digests; the values, which all have alike, are shared. `python -m oakfork.lab.scale.hollow F`.
+has its own position and digests; the values, which all have alike, are shared.
+`python -m oakfork.lab.scale.hollow_gateways F`.
 
 What came is hashed by each for itself, and the record that it replaces is the one in force at its own position: so a
 wrong frame is found as in a gateway. One of `full` keeps the records themselves. Tells on stdout, by lines of JSON:
@@ -21,13 +22,13 @@
 import structlog
 import trio
 
+from oakfork.control.connections import Link
+from oakfork.control.engine import Engine
 from oakfork.control.events import InForce, Key
 from oakfork.control.follower import Follower
-from oakfork.control.links import Link
 from oakfork.control.messages import EMPTY, RANGES, Kind, Position
-from oakfork.control.service import Engine
 from oakfork.control.state import Records, Store, range_of, record_digest, whole
-from oakfork.lab.scale import made
+from oakfork.lab.scale import generated_state
 
 TOLD_EVERY, MARKED_EVERY = 0.2, 1.0  # seconds
 LOOKS = 200  # at the pair after each change set, a turn of others between two
@@ -44,7 +45,7 @@
 
 
 class Config(msgspec.Struct):
-    sizes: made.Sizes
+    sizes: generated_state.Sizes
     start: Position  # where those that aren't cold stand, with the state of `made`
     followers: list[One]
 
@@ -164,7 +165,7 @@
             wrapper_class=structlog.make_filtering_bound_logger(logging.WARNING),
         )
         needed = any(not one.cold and not one.full for one in config.followers)
-        filled = made.store(config.sizes) if needed else Records()
+        filled = generated_state.store(config.sizes) if needed else Records()
         base = {(kind, name): value for kind in Kind for name, value in filled.records[kind].items()}
         self.values = Values(base, config.start)
         for number, one in enumerate(config.followers):
@@ -178,7 +179,7 @@
 
     def _store(self, one: One, filled: Records) -> Store:
         if one.full:
-            return Records() if one.cold else made.store(self.config.sizes)
+            return Records() if one.cold else generated_state.store(self.config.sizes)
         sums = array("Q", bytes(8 * RANGES)) if one.cold else array("Q", filled.sums)
         return HollowStore(self.values, sums, EMPTY if one.cold else self.config.start)
 
@@ -235,7 +236,7 @@
     async def _look(self, store: Records) -> None:
         """As requests would, at what one change set always changes together."""
         while True:
-            one, other = (store.value(Kind.TENANT, name) for name in made.PAIR)
+            one, other = (store.value(Kind.TENANT, name) for name in generated_state.PAIR)
             self.half += one != other
             if self.looks:
                 self.looks -= 1
--- a/oakfork/lab/scale/capacityleases.py
+++ b/oakfork/lab/scale/lease_costs.py
@@ -5,8 +5,8 @@
 from typing import Any, Callable
 
 from oakfork.interface import SECOND
-from oakfork.lab.leasemodel import LENGTHS, Fleet
-from oakfork.lab.relay import HEADERS
+from oakfork.lab.datagram_relay import HEADERS
+from oakfork.lab.lease_model import LENGTHS, Fleet
 from oakfork.lab.scale.slopes import Measure
 
 GROUP = "leases"
--- a/oakfork/lab/scale/module.py
+++ b/oakfork/lab/scale/module_costs.py
@@ -1,4 +1,4 @@
-"""Group "module": the cost of the decision module by itself (oakfork/brain), by servers, peers, customers and plans.
+"""Group "module": the cost of the decision module by itself (oakfork/decision), by servers, peers, customers and plans.
 
 A module is driven on a virtual clock until it is at rest, then through the units below; what it was told is told
 again to another one of the same birth, and that one is measured (modulerig.py). So counts are the same each time.
@@ -16,9 +16,9 @@
 from typing import Any, Callable, Iterable, NamedTuple
 
 from oakfork.interface import SECOND
-from oakfork.lab.scale import modulerig as rig
-from oakfork.lab.scale.modulerig import Driven, Replay, Sizes
-from oakfork.lab.scale.reference import beside_reference, operations, reference_seconds
+from oakfork.lab.scale import module_driver as rig
+from oakfork.lab.scale.module_driver import Driven, Replay, Sizes
+from oakfork.lab.scale.reference_cost import beside_reference, operations, reference_seconds
 from oakfork.lab.scale.slopes import Measure, line_of
 
 GROUP = "module"
@@ -35,7 +35,7 @@
 ENTRIES = 4000  # entries of lists that a value goes through at least
 PATIENCE = 60  # seconds for a fresh process
 ROOT = Path(__file__).parents[3]
-FRESH = "import sys; from oakfork.lab.scale.modulerig import resident; print(resident(sys.argv[1]))"
+FRESH = "import sys; from oakfork.lab.scale.module_driver import resident; print(resident(sys.argv[1]))"
 
 
 class Unit(NamedTuple):
--- a/oakfork/lab/scale/modulerig.py
+++ b/oakfork/lab/scale/module_driver.py
@@ -15,8 +15,8 @@
 from pathlib import Path
 from typing import Any, Callable, Iterator
 
-from oakfork import interface as face, peerwire as wire
-from oakfork.brain import Brain
+from oakfork import interface as face, peer_codec as wire
+from oakfork.decision import Brain
 from oakfork.interface import SECOND, Method, Plan, Repeat, State, Status
 
 START = 3600 * SECOND
--- a/oakfork/lab/scale/frames.py
+++ b/oakfork/lab/scale/peer_frames.py
@@ -2,7 +2,8 @@
 
 Times are tenths of a millisecond. No frame is lost or refused, timers are exact, and frames take a fixed time; so the
 counts are the same on any machine. Where a whole tier of modules would take too long, one module talks to scripted
-peers, which answer as oakfork/brain/links.py and quotas.py do: a greeting with an empty frame, an ask with a yes.
+peers, which answer as oakfork/decision/peer_links.py and quotas.py do: a greeting with an empty frame, an ask with a
+yes.
 """
 
 import random
@@ -10,14 +11,14 @@
 from dataclasses import dataclass
 from typing import Any, Callable, Sequence
 
-from oakfork import interface as face, peerwire as wire
-from oakfork.birth import read_settings
-from oakfork.brain import Brain
+from oakfork import interface as face, peer_codec as wire
+from oakfork.decision import Brain
 from oakfork.interface import SECOND, State, Status
-from oakfork.lab.clock import Kind, Loop
-from oakfork.lab.relay import HEADERS
-from oakfork.lab.scale.lists import ZONES
+from oakfork.lab.datagram_relay import HEADERS
+from oakfork.lab.event_loop import Kind, Loop
+from oakfork.lab.scale.server_lists import ZONES
 from oakfork.lab.scale.slopes import Measure
+from oakfork.settings import read_settings
 
 GROUP = "frames"
 GATEWAYS = (3, 30, 300, 1000, 2700)
--- a/oakfork/lab/scale/process.py
+++ b/oakfork/lab/scale/process_costs.py
@@ -14,9 +14,9 @@
 from typing import Any, Callable, Iterator, NamedTuple
 
 from oakfork.errors import RigError
-from oakfork.lab.ports import free_places, text
-from oakfork.lab.scale.frames import MAIL_PER_S, settings
-from oakfork.lab.scale.lists import rows
+from oakfork.lab.port_allocator import free_places, text
+from oakfork.lab.scale.peer_frames import MAIL_PER_S, settings
+from oakfork.lab.scale.server_lists import rows
 from oakfork.lab.scale.slopes import Measure
 
 GROUP = "process"
--- a/oakfork/lab/scale/beside.py
+++ b/oakfork/lab/scale/real_gateways.py
@@ -12,12 +12,12 @@
 
 from oakfork.control.messages import Kind
 from oakfork.errors import RigError
-from oakfork.lab.ports import text
-from oakfork.lab.scale import made
-from oakfork.lab.scale.added import DIRECT, WITH, WITHOUT, WORK, client_of, over, summed
-from oakfork.lab.scale.addedparties import Parties, listed
-from oakfork.lab.scale.addedtier import PROGRAM, Block, Tier, play
-from oakfork.lab.scale.fleetplay import Fleet
+from oakfork.lab.port_allocator import text
+from oakfork.lab.scale import generated_state
+from oakfork.lab.scale.added_latency import DIRECT, WITH, WITHOUT, WORK, client_of, over, summed
+from oakfork.lab.scale.added_latency_backends import Parties, listed
+from oakfork.lab.scale.added_latency_gateways import PROGRAM, Block, Tier, play
+from oakfork.lab.scale.fleet_run import Fleet
 
 SERVICE = "beside"
 LEASES = {"voters": [0], "length_ms": 3000, "act_ms": 250, "drift_permille": 10}
@@ -47,7 +47,7 @@
     def __init__(self, addresses: list[str]) -> None:
         self.addresses, self.serial = addresses, 0
 
-    def _server(self, number: int) -> made.Item:
+    def _server(self, number: int) -> generated_state.Item:
         return {
             "id": f"{SERVICE}-{number}",
             "addr": self.addresses[number],
@@ -60,26 +60,26 @@
             "service": SERVICE,
         }
 
-    def begin(self) -> made.Change:
+    def begin(self) -> generated_state.Change:
         service = {"name": SERVICE, "methods": [{"name": "read", "aim_ms": 100, "deadline_ms": 400}]}
         return self._change(
             [(Kind.SERVICE, service)] + [(Kind.SERVER, self._server(number)) for number in range(len(self.addresses))]
         )
 
-    def turn(self) -> made.Change:
+    def turn(self) -> generated_state.Change:
         """The registered size of one changes: nothing that the choice among servers would notice."""
         self.serial += 1
         item = self._server(self.serial % len(self.addresses))
         return self._change([(Kind.SERVER, item | {"started_ms": 0, "weight": 1 + self.serial % 1000 / 1000})])
 
-    def _change(self, put: list[tuple[Kind, made.Item]]) -> made.Change:
-        return made.change(
+    def _change(self, put: list[tuple[Kind, generated_state.Item]]) -> generated_state.Change:
+        return generated_state.change(
             f"{SERVICE}-{self.serial}", [((kind, item.get("id") or item["name"]), item) for kind, item in put], []
         )
 
 
 class Beside:
-    def __init__(self, fleet: Fleet, changes: made.Changes, sizes: Sizes, seed: int) -> None:
+    def __init__(self, fleet: Fleet, changes: generated_state.Changes, sizes: Sizes, seed: int) -> None:
         self.fleet, self.changes, self.sizes, self.dice = fleet, changes, sizes, random.Random(seed)
         self.published = 0  # times that change sets went out beside the load
         self.failed: RigError | None = None
--- a/oakfork/lab/scale/lists.py
+++ b/oakfork/lab/scale/server_lists.py
@@ -9,7 +9,7 @@
 from typing import Any, Callable, Sequence
 
 from oakfork.lab.scale.slopes import Measure
-from oakfork.sockets.heads import LARGEST_BODY
+from oakfork.sockets.http_connection import LARGEST_BODY
 
 GROUP = "lists"
 SERVERS = (10, 100, 1000, 4000, 10_000, 41_000)
--- a/oakfork/lab/scale/traced.py
+++ b/oakfork/lab/scale/traced_gateway.py
@@ -1,4 +1,4 @@
-"""`python -m oakfork.lab.scale.traced` serves as `python -m oakfork` does, and notes where the time of each RPC goes.
+"""`python -m oakfork.lab.scale.traced_gateway` serves as `python -m oakfork` does and records the time of each RPC.
 
 The program is not changed: functions of it are wrapped from outside, which note the time and call what they wrap. An
 RPC is in one part at a time, so its parts add up to what the gateway saw of it: from its last byte in hand until its
@@ -131,14 +131,14 @@
 
     def wraps(self) -> list[Wrapped]:
         """What is wrapped, and how."""
-        from oakfork.brain.quotas import Quotas
-        from oakfork.brain.rpcs import Brain
-        from oakfork.sockets.clients import Client
+        from oakfork.decision.quotas import Quotas
+        from oakfork.decision.rpcs import Brain
+        from oakfork.sockets.client_connections import Client
+        from oakfork.sockets.decision_loop import Keeper
         from oakfork.sockets.exchange import Exchange
-        from oakfork.sockets.heads import Link
-        from oakfork.sockets.keeper import Keeper
+        from oakfork.sockets.http_connection import Link
         from oakfork.sockets.peers import Peers
-        from oakfork.sockets.servers import Servers
+        from oakfork.sockets.server_connections import Servers
 
         return [
             Wrapped(Link, "fill", self._fill),
@@ -204,7 +204,7 @@
     def _waits(self, running: int, waiting: int) -> Wrap:
         """A generator of the module: one part while it runs, another while it waits. An ask waits for its frame's pace
         first, and is on its way once that has left."""
-        from oakfork.peerwire import Answer
+        from oakfork.peer_codec import Answer
 
         def wrap(original: Callable) -> Callable:
             def waits(module: Any, rpc: Any, *args: Any) -> Generator:
@@ -236,7 +236,7 @@
         return wrap
 
     def _tell(self, original: Callable) -> Callable:
-        from oakfork.peerwire import Answer, Ask, unpack
+        from oakfork.peer_codec import Answer, Ask, unpack
 
         def tell(peers: Any, peer: int, data: bytes) -> None:
             frame = unpack(data)
@@ -251,7 +251,7 @@
 
     def _received(self, original: Callable) -> Callable:
         """An ask at its owner: from when the module takes it up until the frame with its answer leaves."""
-        from oakfork.peerwire import Ask
+        from oakfork.peer_codec import Ask
 
         def received(quotas: Any, sender: int, item: Any) -> Any:
             if isinstance(item, Ask) and len(self.served) + len(self.owed) < MOST:
@@ -358,9 +358,9 @@
 
 
 def main() -> None:
-    from oakfork import early
+    from oakfork import early_signals
 
-    early.hold()
+    early_signals.hold()
     path = os.environ.get(FILE)
     if not path:
         sys.exit(f"{FILE} names no file")
--- a/oakfork/lab/fleet.py
+++ b/oakfork/lab/server_model.py
@@ -5,8 +5,8 @@
 from typing import Callable
 
 from oakfork.interface import Status
-from oakfork.lab.clock import Kind, Loop
-from oakfork.lab.plan import ServerPlan
+from oakfork.lab.event_loop import Kind, Loop
+from oakfork.lab.world_config import ServerPlan
 
 
 @dataclass(slots=True)
--- a/oakfork/lab/sweep.py
+++ b/oakfork/lab/sweep.py
@@ -13,8 +13,8 @@
 from typing import Any, Callable
 
 import oakfork
+from oakfork.lab.baseline_policies import POLICIES
 from oakfork.lab.experiment import Experiment, Run
-from oakfork.lab.policies import POLICIES
 from oakfork.lab.world import World
 
 RESULTS = "results.jsonl"
--- a/oakfork/lab/world.py
+++ b/oakfork/lab/world.py
@@ -6,14 +6,14 @@
 
 from oakfork import interface as face
 from oakfork.interface import SECOND, Status
-from oakfork.lab.checker import Checker
-from oakfork.lab.clock import Kind, Loop
-from oakfork.lab.crowd import Crowd
-from oakfork.lab.fleet import Job, Server
-from oakfork.lab.plan import Fault, WorldPlan
-from oakfork.lab.stage import CallOut, Decide, Exchange
-from oakfork.lab.tally import Tally
-from oakfork.lab.tier import EVERYONE, Gateway
+from oakfork.lab.customers import Crowd
+from oakfork.lab.environment import CallOut, Decide, Exchange
+from oakfork.lab.event_loop import Kind, Loop
+from oakfork.lab.gateway_model import EVERYONE, Gateway
+from oakfork.lab.invariant_checker import Checker
+from oakfork.lab.run_metrics import Tally
+from oakfork.lab.server_model import Job, Server
+from oakfork.lab.world_config import Fault, WorldPlan
 
 STREAMS = ("clients", "work", "links", "faults", "discovery", "births")  # chance of one does not shift another's
 PROBE_WORK = 3  # tenths of a millisecond of a core that a probe costs a server
--- a/oakfork/leases/fence.py
+++ b/oakfork/leases/fence.py
@@ -8,7 +8,7 @@
 from enum import Enum
 from typing import NamedTuple
 
-from oakfork.leases.lengths import Lengths
+from oakfork.leases.durations import Lengths
 from oakfork.leases.messages import Clock, Hello
 
 
--- a/oakfork/leases/holder.py
+++ b/oakfork/leases/holder.py
@@ -7,7 +7,7 @@
 
 from typing import NamedTuple
 
-from oakfork.leases.lengths import Lengths
+from oakfork.leases.durations import Lengths
 from oakfork.leases.messages import Ask, Grant, Refusal, Release
 
 
--- a/oakfork/leases/runner.py
+++ b/oakfork/leases/runner.py
@@ -10,8 +10,8 @@
 import trio
 from structlog.stdlib import BoundLogger
 
-from oakfork.fleet.file import FleetFile
-from oakfork.fleet.post import OUTSIDER, Post, clock
+from oakfork.fleet.config import FleetFile
+from oakfork.fleet.transport import OUTSIDER, Post, clock
 from oakfork.leases import fence, holder, voter
 from oakfork.leases.messages import Act, Acted, Ask, Clock, Free, Grant, Hello, Refusal, Release
 
--- a/oakfork/leases/voter.py
+++ b/oakfork/leases/voter.py
@@ -7,7 +7,7 @@
 
 from typing import NamedTuple
 
-from oakfork.leases.lengths import Lengths
+from oakfork.leases.durations import Lengths
 from oakfork.leases.messages import Ask, Free, Grant, Refusal, Release
 
 NOBODY = -1
--- a/oakfork/serving.py
+++ b/oakfork/serving.py
@@ -7,7 +7,7 @@
 
 import trio
 
-from oakfork import early
+from oakfork import early_signals
 from oakfork.errors import ConfigurationError, lines
 from oakfork.sockets import configuration, gateway
 
@@ -15,7 +15,7 @@
 def _faults() -> list[str]:
     """Where the configuration can't be read: what is wrong, each by its path, if the library is there and finds it."""
     try:
-        from oakfork.format import faults_in
+        from oakfork.configuration_schema import faults_in
 
         with open(os.environ["LB_CONFIG"], "rb") as file:
             return faults_in(json.load(file))
@@ -33,4 +33,4 @@
     gc.freeze()
     gc.set_threshold(7_000, 10, 10)
     trio.run(gateway.run, here)
-    early.done()
+    early_signals.done()
--- a/oakfork/wirehost/__main__.py
+++ b/oakfork/simulator_adapter/__main__.py
@@ -1,7 +1,7 @@
 import sys
 
 from oakfork.errors import WireError
-from oakfork.wirehost.host import serve
+from oakfork.simulator_adapter.host import serve
 
 if __name__ == "__main__":
     try:
--- a/oakfork/wirehost/codec.py
+++ b/oakfork/simulator_adapter/codec.py
@@ -4,9 +4,9 @@
 import struct
 from typing import BinaryIO, Iterator, NamedTuple
 
-from oakfork.birth import read_settings, tenths
 from oakfork.errors import WireError
 from oakfork.interface import Birth
+from oakfork.settings import read_settings, tenths
 
 BATCH_HEADER = struct.Struct("<IdI")
 REPLY_HEADER = struct.Struct("<I")
--- a/oakfork/wirehost/host.py
+++ b/oakfork/simulator_adapter/host.py
@@ -4,10 +4,10 @@
 from typing import BinaryIO, Callable
 
 from oakfork import interface as face
-from oakfork.brain import Brain
-from oakfork.door import Door
+from oakfork.decision import Brain
 from oakfork.errors import CommandUnknown, WireError
-from oakfork.wirehost import codec
+from oakfork.index_table import Door
+from oakfork.simulator_adapter import codec
 
 Decider = Callable[[face.Birth, int], Brain]
 
--- a/oakfork/sockets/clients.py
+++ b/oakfork/sockets/client_connections.py
@@ -12,10 +12,10 @@
 
 from oakfork.errors import BadRequest, Break
 from oakfork.sockets.configuration import Surroundings
-from oakfork.sockets.endings import Ending
 from oakfork.sockets.exchange import Answer, Exchange
-from oakfork.sockets.heads import LARGEST_BODY, Link, Message
+from oakfork.sockets.http_connection import LARGEST_BODY, Link, Message
 from oakfork.sockets.messages import Came, Left, Told, tell
+from oakfork.sockets.outcomes import Ending
 
 BACKLOG = 512
 SPARED = 0.25  # seconds that a connection stays open after its start or last answer, if there is room or not
--- a/oakfork/sockets/configuration.py
+++ b/oakfork/sockets/configuration.py
@@ -4,9 +4,9 @@
 from dataclasses import dataclass
 from typing import Any, Callable, Mapping, TypeVar
 
-from oakfork.birth import read_settings, tenths
 from oakfork.errors import ConfigurationError
 from oakfork.interface import Birth
+from oakfork.settings import read_settings, tenths
 
 Address = tuple[str, int]
 Read = TypeVar("Read")
--- a/oakfork/sockets/counter.py
+++ b/oakfork/sockets/counter_client.py
@@ -8,9 +8,9 @@
 from oakfork import interface as face
 from oakfork.errors import Break
 from oakfork.sockets.configuration import Address, Surroundings
-from oakfork.sockets.endings import STATUS, Ending
-from oakfork.sockets.heads import Link, Message, connect, plain
+from oakfork.sockets.http_connection import Link, Message, connect, plain
 from oakfork.sockets.messages import Told, tell
+from oakfork.sockets.outcomes import STATUS, Ending
 
 MOST_WAITING = 256  # calls not yet written; one more is answered as if there were no connection
 
--- a/oakfork/sockets/keeper.py
+++ b/oakfork/sockets/decision_loop.py
@@ -10,17 +10,17 @@
 from structlog.stdlib import BoundLogger
 
 from oakfork import interface as face
-from oakfork.brain import Brain
-from oakfork.door import Door
+from oakfork.decision import Brain
 from oakfork.errors import ConfigurationError
+from oakfork.index_table import Door
 from oakfork.sockets.configuration import Address, Surroundings, address
-from oakfork.sockets.counter import Counter
+from oakfork.sockets.counter_client import Counter
 from oakfork.sockets.discovery import Discovery, rows
-from oakfork.sockets.endings import STATUS, Ending
 from oakfork.sockets.exchange import Answer, CallOut, Exchange
 from oakfork.sockets.messages import CallOutOver, Came, Left, Listed, Told, tell
+from oakfork.sockets.outcomes import STATUS, Ending
 from oakfork.sockets.peers import Peers
-from oakfork.sockets.servers import Servers
+from oakfork.sockets.server_connections import Servers
 
 if TYPE_CHECKING:
     from oakfork.contracts.runner import Contracts
--- a/oakfork/sockets/discovery.py
+++ b/oakfork/sockets/discovery.py
@@ -9,9 +9,9 @@
 
 from oakfork.errors import Break
 from oakfork.sockets.configuration import Address, Surroundings
-from oakfork.sockets.endings import Ending
-from oakfork.sockets.heads import Link, connect, plain
+from oakfork.sockets.http_connection import Link, connect, plain
 from oakfork.sockets.messages import Listed, Told, tell
+from oakfork.sockets.outcomes import Ending
 
 # Six seconds after discovery had a change and could be reached, it counts as told, whatever call failed, was refused or
 # was given up just before. The longest way there: a watch that has gone silent (it looks like one with no news until
--- a/oakfork/sockets/exchange.py
+++ b/oakfork/sockets/exchange.py
@@ -6,11 +6,11 @@
 import h11
 import trio
 
-from oakfork.birth import tenths
 from oakfork.errors import BadRequest
 from oakfork.interface import Birth, Repeat
+from oakfork.settings import tenths
 from oakfork.sockets.configuration import Names
-from oakfork.sockets.heads import Header, Message, pairs
+from oakfork.sockets.http_connection import Header, Message, pairs
 
 # These speak of one connection (RFC 9110, 7.6.1), are written anew for the next, or are for the gateway alone.
 NOT_PASSED_ON = frozenset(
--- a/oakfork/sockets/gateway.py
+++ b/oakfork/sockets/gateway.py
@@ -12,20 +12,20 @@
 import trio
 from structlog.stdlib import BoundLogger
 
-from oakfork import early
+from oakfork import early_signals
 from oakfork.errors import AddressTaken, ConfigurationError, FileError, told
-from oakfork.sockets.clients import Clients
+from oakfork.sockets.client_connections import Clients
 from oakfork.sockets.configuration import Surroundings, reread
-from oakfork.sockets.counter import Counter
+from oakfork.sockets.counter_client import Counter
+from oakfork.sockets.decision_loop import Keeper
 from oakfork.sockets.discovery import Discovery
-from oakfork.sockets.heads import bound
-from oakfork.sockets.keeper import Keeper
+from oakfork.sockets.http_connection import bound
 from oakfork.sockets.messages import Listed, Told, tell
 from oakfork.sockets.peers import Peers
-from oakfork.sockets.servers import Servers
+from oakfork.sockets.server_connections import Servers
 
 if TYPE_CHECKING:
-    from oakfork.fleet.part import Part
+    from oakfork.fleet.services import Part
 
 OTHERS = 24  # descriptors for the other parties and the interpreter: twelve were seen, more where lists are read
 ANSWERS = 64  # an answer may take that part of the memory: a third is the program's, few are so large at once
@@ -107,7 +107,7 @@
     path = os.environ.get("LB_FLEET")
     if not path:
         return None
-    from oakfork.fleet.part import Part
+    from oakfork.fleet.services import Part
 
     return Part(path, here, log, lambda servers: tell(queue, Listed(False, False, servers)))
 
@@ -122,7 +122,7 @@
 ) -> None:
     """Takes signals until the end of the process, while it leaves too: one that nobody takes would end it."""
     async with trio.open_nursery() as nursery:
-        if early.taken():
+        if early_signals.taken():
             nursery.start_soon(_turn, discovery, counter, log)
         async for number in signals:
             if number != signal.SIGHUP:
--- a/oakfork/sockets/heads.py
+++ b/oakfork/sockets/http_connection.py
@@ -9,7 +9,7 @@
 import trio
 
 from oakfork.errors import AddressTaken, Break
-from oakfork.sockets.endings import Ending
+from oakfork.sockets.outcomes import Ending
 
 LARGEST_BODY = 64 * 1024  # PROTOCOL: a body holds 64 KiB at most; servers have been seen to say more
 LARGEST_HEAD = 16 * 1024
--- a/oakfork/sockets/messages.py
+++ b/oakfork/sockets/messages.py
@@ -5,9 +5,9 @@
 import trio
 
 from oakfork import interface as face
-from oakfork.sockets.endings import Ending
 from oakfork.sockets.exchange import CallOut, Exchange
-from oakfork.sockets.heads import Message
+from oakfork.sockets.http_connection import Message
+from oakfork.sockets.outcomes import Ending
 
 
 class Came(NamedTuple):
--- a/oakfork/sockets/peers.py
+++ b/oakfork/sockets/peers.py
@@ -5,7 +5,7 @@
 import trio
 
 from oakfork import interface as face
-from oakfork.peerwire import LARGEST
+from oakfork.peer_codec import LARGEST
 from oakfork.sockets.configuration import Surroundings
 from oakfork.sockets.messages import Told, tell_datagram
 
--- a/oakfork/sockets/servers.py
+++ b/oakfork/sockets/server_connections.py
@@ -8,9 +8,9 @@
 
 from oakfork.errors import Break
 from oakfork.sockets.configuration import Address
-from oakfork.sockets.endings import Ending
 from oakfork.sockets.exchange import CallOut
-from oakfork.sockets.heads import Link, Message, connect, pairs, plain
+from oakfork.sockets.http_connection import Link, Message, connect, pairs, plain
+from oakfork.sockets.outcomes import Ending
 
 # Seconds that a connection rests after an answer before it is used again: a second answer may come some milliseconds
 # late, and would be taken for the next one's.
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,11 +1,11 @@
 """Fixtures that several files use, and the handling of KNOWN-RED.txt."""
 
 import pytest
+from fake_services import World
 from known_red import (
     pytest_collection_modifyitems as pytest_collection_modifyitems,
     pytest_terminal_summary as pytest_terminal_summary,
 )
-from standins import World
 
 
 @pytest.fixture
--- a/tests/controlfleet.py
+++ b/tests/control_fleets.py
@@ -1,7 +1,7 @@
-"""Fleets of controlworld.py that several files of tests use."""
+"""Fleets of control_network.py that several files of tests use."""
 
 import msgspec
-from controlworld import World, put
+from control_network import World, put
 
 from oakfork.control.follower import Follower
 from oakfork.control.messages import Kind
--- a/tests/controlworld.py
+++ b/tests/control_network.py
@@ -1,4 +1,4 @@
-"""A simulated network for the machines of oakfork/control; controlwitness.py judges them after each step.
+"""A simulated network for the machines of oakfork/control; control_verifier.py judges them after each step.
 
 Time is virtual. Links deliver in order, end in the middle, are cut between regions (what is under way then waits for
 the healing, as with TCP) and stand still with their node. A disk takes its time, and a kill may come before or after.
@@ -12,7 +12,7 @@
 from types import SimpleNamespace
 
 import msgspec
-from controlwitness import Witness, Wrong, filled
+from control_verifier import Witness, Wrong, filled
 
 from oakfork.control import events, messages
 from oakfork.control.events import Connected, Heard, Lost, NotStored, Step, Stored, TimeCame, Unkept
--- a/tests/controlhand.py
+++ b/tests/control_peer.py
@@ -1,6 +1,6 @@
 """Speaks by hand to those who serve (oakfork/control), link by link."""
 
-from controlwitness import filled
+from control_verifier import filled
 
 from oakfork.control.events import (
     Close,
@@ -17,7 +17,7 @@
     Unkeep,
     Wake,
 )
-from oakfork.control.feeder import Feeder
+from oakfork.control.follower_server import Feeder
 from oakfork.control.messages import VERSION, Hello, Position, unpack_down, unpack_up
 from oakfork.control.state import as_changes, summed, whole
 
--- a/tests/controltier.py
+++ b/tests/control_tier.py
@@ -6,11 +6,11 @@
 import structlog
 import trio
 
-from oakfork.control import agent as agents, client, shown
-from oakfork.control.file import PublisherFile, RelayFile
-from oakfork.control.links import listen
-from oakfork.control.running import publisher_engine, relay_engine
-from oakfork.control.store import Database
+from oakfork.control import agent as agents, client, status_text
+from oakfork.control.config import PublisherFile, RelayFile
+from oakfork.control.connections import listen
+from oakfork.control.database import Database
+from oakfork.control.processes import publisher_engine, relay_engine
 
 LOG = structlog.get_logger()
 HERE = ("127.0.0.1", 0)
@@ -74,7 +74,7 @@
 
     async def everywhere(self, position, followers=3):
         with trio.fail_after(WAIT):
-            while not shown.whole(told := await client.status(self.publisher_at), position, followers):
+            while not status_text.whole(told := await client.status(self.publisher_at), position, followers):
                 await trio.sleep(0.02)
         assert all(agent.position >= position for agent in self.agents)
         return told
--- a/tests/controlwitness.py
+++ b/tests/control_verifier.py
@@ -1,8 +1,8 @@
-"""Judges the machines of a simulated network (controlworld.py) from outside: after each step one node's, and all in the
-end. What it compares with is made by brute force, through what anyone can look up.
+"""Judges the machines of a simulated network (control_network.py) from outside: after each step one node's, and all
+in the end. What it compares with is made by brute force, through what anyone can look up.
 """
 
-from oakfork.control import feeder, frames
+from oakfork.control import encoded_frames, follower_server
 from oakfork.control.messages import Position, Row
 from oakfork.control.publisher import QUEUED, Publisher
 from oakfork.control.state import Records, as_changes, summed, whole
@@ -51,13 +51,13 @@
         links, pace, history = serving.links, serving.pace, serving.history
         sizes = {
             "links": (len(links), serving.most),
-            "deltas": (len(serving.deltas), feeder.DELTAS),
-            "held": (len(serving.held), feeder.DELTAS),
+            "deltas": (len(serving.deltas), follower_server.DELTAS),
+            "held": (len(serving.held), follower_server.DELTAS),
             "blocked": (len(serving.blocked), len(links)),
             "mending": (len(pace.mending), pace.most),
             "ready": (len(pace.ready), len(pace.mending)),
             "waiting": (len(pace.waiting), len(links)),
-            "backlog": (len(serving.ranges.behind), frames.BACKLOG),
+            "backlog": (len(serving.ranges.behind), encoded_frames.BACKLOG),
             "rows": (history.rows, history.most_rows),
             "sets": (len(history.sets), history.most_sets),
             "roster": (len(serving.roster.links), len(links)),
--- a/tests/gateways.py
+++ b/tests/decision_modules.py
@@ -2,10 +2,10 @@
 
 import random
 
-from world import arrival, birth, entry
+from gateway_network import arrival, birth, entry
 
-from oakfork import interface as face, peerwire as wire
-from oakfork.brain import Brain
+from oakfork import interface as face, peer_codec as wire
+from oakfork.decision import Brain
 from oakfork.interface import SECOND, State, Status
 
 
--- a/tests/standins.py
+++ b/tests/fake_services.py
@@ -13,7 +13,7 @@
 from contextlib import closing, contextmanager, suppress
 from http.server import BaseHTTPRequestHandler, ThreadingHTTPServer
 
-from oakfork.lab.ports import free_places, text
+from oakfork.lab.port_allocator import free_places, text
 from oakfork.sockets import configuration
 
 CUSTOMER = "00000000b4d65521"
--- a/tests/world.py
+++ b/tests/gateway_network.py
@@ -7,7 +7,7 @@
 import random
 
 from oakfork import interface as face
-from oakfork.brain import Brain
+from oakfork.decision import Brain
 from oakfork.interface import NEVER_RAN, SECOND, Method, Plan, Repeat, State, Status
 
 METHODS = (
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -4,7 +4,7 @@
 import pytest
 
 MOST = 3
-CROWDS = "test_control_scale.py", "test_control_services.py", "test_scale_added.py", "test_scale_process.py"
+CROWDS = "test_control_scale.py", "test_control_services.py", "test_scale_added_latency.py", "test_scale_process.py"
 
 
 def rows(root):
--- a/tests/labworlds.py
+++ b/tests/lab_worlds.py
@@ -4,7 +4,7 @@
 import tomllib
 from pathlib import Path
 
-from oakfork.brain import Brain
+from oakfork.decision import Brain
 from oakfork.lab import experiment as files
 from oakfork.lab.world import World
 
--- a/tests/leasesearch.py
+++ b/tests/lease_search.py
@@ -12,7 +12,7 @@
 from typing import Any, Iterator, NamedTuple
 
 from oakfork.leases import fence, holder, voter
-from oakfork.leases.lengths import Lengths
+from oakfork.leases.durations import Lengths
 from oakfork.leases.messages import Ask, Clock, Free, Grant, Hello, Refusal, Release
 
 LENGTHS = Lengths(lease=24, drift=200, act=24, longest=24)
--- a/tests/test_any_bytes.py
+++ b/tests/test_any_bytes.py
@@ -1,5 +1,5 @@
 """Any bytes, at any moment, on the sockets of clients, servers and discovery: an answer or a close in bounded
-time, no crash, nothing lost beside it, nothing left held. (Frames of peers: test_links.py.)"""
+time, no crash, nothing lost beside it, nothing left held. (Frames of peers: test_peer_links.py.)"""
 
 import os
 import random
@@ -10,7 +10,7 @@
 from contextlib import suppress
 
 import pytest
-from standins import CUSTOMER, connection, echo, headers, raw, request_bytes, rpc, settings, until
+from fake_services import CUSTOMER, connection, echo, headers, raw, request_bytes, rpc, settings, until
 
 from oakfork.sockets import configuration
 
--- a/tests/test_callouts.py
+++ b/tests/test_callouts.py
@@ -13,17 +13,17 @@
 import structlog
 import trio
 import trio.testing
-from standins import CUSTOMER, echo, entry, rpc, settings, surroundings
+from fake_services import CUSTOMER, echo, entry, rpc, settings, surroundings
 
 from oakfork.errors import Break
 from oakfork.interface import Status
-from oakfork.sockets import servers as network
-from oakfork.sockets.endings import STATUS, Ending
+from oakfork.sockets import server_connections as network
+from oakfork.sockets.decision_loop import Keeper
 from oakfork.sockets.exchange import CallOut, Exchange
-from oakfork.sockets.heads import LARGEST_BODY, Link, Message
-from oakfork.sockets.keeper import Keeper
+from oakfork.sockets.http_connection import LARGEST_BODY, Link, Message
 from oakfork.sockets.messages import Came, Left, Listed, tell
-from oakfork.sockets.servers import REST, Servers
+from oakfork.sockets.outcomes import STATUS, Ending
+from oakfork.sockets.server_connections import REST, Servers
 
 ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone"
 LISTED = [entry(0, "127.0.0.1:1001"), entry(1, "127.0.0.1:1002")]
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -11,25 +11,25 @@
 
 import pytest
 from click.testing import CliRunner
-from labworlds import ROOT
+from lab_worlds import ROOT
 
-from oakfork.command import main
+from oakfork.cli import main
 from oakfork.errors import ScaleError
 from oakfork.lab.scale import (
     budget as budgets,
-    capacity,
-    capacitycontrol,
-    capacityfigures,
-    capacityleases,
-    capacitymissing,
-    command,
-    lists,
+    capacity_control,
+    capacity_figures,
+    capacity_gaps,
+    capacity_tables,
+    cli,
+    lease_costs,
+    server_lists,
 )
 from oakfork.lab.scale.budget import Budget, Open, Today
-from oakfork.lab.scale.capacityfigures import Figure, Store, exact, plain
-from oakfork.lab.scale.capacityroles import Sums
+from oakfork.lab.scale.capacity_figures import Figure, Store, exact, plain
+from oakfork.lab.scale.capacity_roles import Sums
 from oakfork.lab.scale.slopes import Measure, store
-from oakfork.sockets import discovery, heads
+from oakfork.sockets import discovery, http_connection
 
 PAGE, STORED = ROOT / "docs/CAPACITY.md", ROOT / "experiments/scale"
 TABLE_FILES = sorted((ROOT / "oakfork/lab/scale").glob("capacity*.py"))
@@ -50,7 +50,12 @@
     """Every measure that a table asks for."""
     asked = Store(Path("/nowhere"))
     sums = Sums(asked, Budget(), Open(), Today())
-    for rows in (*capacity.BY_VIEW.values(), capacity.days.apart, capacity.days.added, capacitymissing.lacks):
+    for rows in (
+        *capacity_tables.BY_VIEW.values(),
+        capacity_tables.days.apart,
+        capacity_tables.days.added,
+        capacity_gaps.lacks,
+    ):
         rows(sums)
     return asked.wanted
 
@@ -89,16 +94,18 @@
 
 def test_the_page_is_what_the_stored_measures_and_the_budget_give():
     text = PAGE.read_text()
-    assert capacity.written(text, capacity.tables(STORED)) == text, "oakfork lab scale --page docs/CAPACITY.md"
+    assert (
+        capacity_tables.written(text, capacity_tables.tables(STORED)) == text
+    ), "oakfork lab scale --page docs/CAPACITY.md"
 
 
 def test_a_page_that_differs_is_found(tmp_path):
-    found = capacity.tables(stored(tmp_path))
-    page = capacity.written(PAGE.read_text(), found)
-    assert capacity.written(page, found) == page
+    found = capacity_tables.tables(stored(tmp_path))
+    page = capacity_tables.written(PAGE.read_text(), found)
+    assert capacity_tables.written(page, found) == page
     for number in re.findall(r"(?<=\| )\d[\d,.]*(?= )", page)[::40]:
         changed = page.replace(f"| {number} ", "| 77777 ", 1)
-        assert changed != page and capacity.written(changed, found) == page
+        assert changed != page and capacity_tables.written(changed, found) == page
     (tmp_path / "page.md").write_text(page.replace("| 2,700 gateways", "| 2,701 gateways", 1))
     words = ["lab", "scale", "--page", str(tmp_path / "page.md"), "--to", str(tmp_path), "--check"]
     assert CliRunner().invoke(main, words).exit_code == 1
@@ -107,19 +114,19 @@
 
 
 def test_every_marker_has_a_table_and_every_table_a_marker(tmp_path):
-    text, found = PAGE.read_text(), capacity.tables(stored(tmp_path))
-    assert set(capacity.names_in(text)) == found.keys()
+    text, found = PAGE.read_text(), capacity_tables.tables(stored(tmp_path))
+    assert set(capacity_tables.names_in(text)) == found.keys()
     with pytest.raises(ScaleError, match="zone"):
-        capacity.written(text.replace("table: zone", "table: zones"), found)
+        capacity_tables.written(text.replace("table: zone", "table: zones"), found)
     with pytest.raises(ScaleError, match="peak"):
-        capacity.written(text, {name: table for name, table in found.items() if name != "peak"})
+        capacity_tables.written(text, {name: table for name, table in found.items() if name != "peak"})
     for broken in (
         text.replace("<!-- end of table -->", "", 1),
         text.replace("<!-- table: zone -->", "", 1),
         text + "\n<!-- table: zone -->\n<!-- end of table -->\n",
     ):
         with pytest.raises(ScaleError, match="twice"):
-            capacity.written(broken, found)
+            capacity_tables.written(broken, found)
 
 
 def strings_and_numbers(path):
@@ -152,9 +159,9 @@
 
 
 def test_figures_follow_the_stored_measures(tmp_path):
-    one, two = (capacity.tables(stored(tmp_path / str(scale), scale)) for scale in (1.0, 1.7))
+    one, two = (capacity_tables.tables(stored(tmp_path / str(scale), scale)) for scale in (1.0, 1.7))
     followed = 0
-    for name in (*capacity.BY_VIEW, "apart", "added"):
+    for name in (*capacity_tables.BY_VIEW, "apart", "added"):
         for first, second in zip(cells(one[name]), cells(two[name]), strict=True):
             measured = "`" in first[-2]
             for before, after in zip(first[1:-4], second[1:-4], strict=True):
@@ -168,20 +175,22 @@
 def test_figures_follow_the_operators_table_the_assumptions_and_the_program(tmp_path):
     folder = stored(tmp_path)
     fields = [field.name for field in dataclasses.fields(Budget)]
-    base = capacity.tables(folder)
+    base = capacity_tables.tables(folder)
     for field in fields:
-        changed = capacity.tables(folder, dataclasses.replace(Budget(), **{field: getattr(Budget(), field) * 0.9}))
+        changed = capacity_tables.tables(
+            folder, dataclasses.replace(Budget(), **{field: getattr(Budget(), field) * 0.9})
+        )
         assert changed["budget"] != base["budget"], field
         if field not in ("routes", "services", "machines", "apart", "failed", "restarted", "tenants", "requests"):
             assert changed["missing"] != base["missing"], field
     for row in Open().rows:
         if row.value is not None:
             rows = tuple(one._replace(value=one.value * 2) if one.name == row.name else one for one in Open().rows)
-            changed = capacity.tables(folder, None, Open(rows))
+            changed = capacity_tables.tables(folder, None, Open(rows))
             assert any(changed[name] != base[name] for name in base if name != "assumptions"), row.name
     for field in dataclasses.fields(Today):
         if field.name != "silent_after" and field.name != "wait_part":
-            changed = capacity.tables(
+            changed = capacity_tables.tables(
                 folder, None, None, dataclasses.replace(Today(), **{field.name: getattr(Today(), field.name) * 4})
             )
             assert changed != base, field.name
@@ -189,12 +198,12 @@
 
 def test_what_figures_take_from_the_program_stands_there():
     today = Today()
-    quotas, servers = ((ROOT / f"oakfork/brain/{name}.py").read_text() for name in ("quotas", "servers"))
+    quotas, servers = ((ROOT / f"oakfork/decision/{name}.py").read_text() for name in ("quotas", "servers"))
     assert f"SECOND // {1 / today.retry_s:g}, serial" in quotas and f"soft // {1 / today.wait_part:g}," in quotas
     assert f"tries = {today.tries:g} if plan.ceiling_rate" in quotas
     assert f"(peer.missed < {today.silent_after:g} or now >= peer.next_try)" in quotas
     assert f"first:first + {today.row:g}]" in servers and f"{today.row:g} * total / max({today.row:g}, size)" in servers
-    assert (discovery.HOLD, discovery.TOLD, heads.LARGEST_BODY) == (today.watch_s, today.told_s, today.body)
+    assert (discovery.HOLD, discovery.TOLD, http_connection.LARGEST_BODY) == (today.watch_s, today.told_s, today.body)
 
 
 def test_the_operators_table():
@@ -207,7 +216,7 @@
 
 
 def test_what_is_not_measured_is_said_so_and_breaks_nothing(tmp_path):
-    found = capacity.tables(tmp_path)
+    found = capacity_tables.tables(tmp_path)
     assert all(
         "not measured" in found[name]
         for name in (
@@ -229,20 +238,20 @@
     )
     assert not re.search(r"\bnan\b", "".join(found.values()))
     for place, name in enumerate(names()[::9]):
-        found = capacity.tables(stored(tmp_path / str(place), left_out=[name]))
+        found = capacity_tables.tables(stored(tmp_path / str(place), left_out=[name]))
         assert next(row for row in cells(found["slopes"]) if row[0] == name)[1] == "not measured", name
 
 
 def outcomes(folder):
-    return [(row[1], row[4]) for row in cells(capacity.tables(folder)["missing"])]
+    return [(row[1], row[4]) for row in cells(capacity_tables.tables(folder)["missing"])]
 
 
 def test_missing_mechanisms_stand_in_the_order_of_what_breaks_first(tmp_path):
     sums = Sums(Store(stored(tmp_path / "one")), Budget(), Open(), Today())
-    order = [lack.outcome for lack in capacitymissing.lacks(sums)]
+    order = [lack.outcome for lack in capacity_gaps.lacks(sums)]
     assert order == sorted(order, key=("no way at all", "misses", "not measured", "holds").index)
     assert order[0] == "no way at all"
-    parts = [lack.part for lack in capacitymissing.lacks(sums) if lack.outcome == "misses"]
+    parts = [lack.part for lack in capacity_gaps.lacks(sums) if lack.outcome == "misses"]
     assert parts == sorted(parts) and all(part <= 1 for part in parts)
     stall = "change of one server by servers: seconds"
     for cost, outcome in ((1.0, "misses"), (1e-9, "holds")):
@@ -258,10 +267,10 @@
 
 def test_the_groups_have_the_names_that_the_page_asks_for():
     wanted = names()
-    for group in (lists, capacityleases):
+    for group in (server_lists, lease_costs):
         measures, _ = group.measure(lambda line: None, True)
         found = {measure.name: measure for measure in measures}
-        kind = "leases " if group is capacityleases else "whole list by servers: b"
+        kind = "leases " if group is lease_costs else "whole list by servers: b"
         assert all(name in found for name in wanted if name.startswith(kind))
     assert all(
         value == 0 for _, values in found["leases by gateways: frames a second of a watcher"].points for value in values
@@ -270,7 +279,7 @@
 
 def test_the_largest_size_is_foretold_by_the_smaller_ones_alone(tmp_path):
     few = [(size, [10.0 * size]) for size in (1, 2, 3, 4)]
-    name, other = capacitycontrol.CAME, capacitycontrol.WENT
+    name, other = capacity_control.CAME, capacity_control.WENT
     store(
         tmp_path,
         "control",
@@ -281,7 +290,7 @@
     )
     foretold, played = Store(tmp_path).foretold(name)
     assert (round(foretold.value, 6), played.value, played.low, played.high) == (100, 150, 140, 160)
-    told = [row[1:4] for row in cells(capacity.tables(tmp_path)["agreed"])]
+    told = [row[1:4] for row in cells(capacity_tables.tables(tmp_path)["agreed"])]
     assert told[0] == ["100", "150 (140 to 160)", "1.5"] and told[1] == ["not measured"] * 3
 
 
@@ -290,7 +299,7 @@
     assert (one - two) == Figure(8.0, 4.0, 11.0, ("a", "b"), ("x",))
     assert (one / two) == Figure(5.0, 2.0, 12.0, ("a", "b"), ("x",)) and str(one * 2) == "20 (16 to 24)"
     assert (one + Figure(None, measures=("c",))).value is None and str(exact(1) / 0) == "none"
-    assert capacityfigures.origin([one * two], {"a": "module"}) == "`a` (module); `b`; assumed: x"
+    assert capacity_figures.origin([one * two], {"a": "module"}) == "`a` (module); `b`; assumed: x"
     assert [plain(value) for value in (0.0, 41_000, 118.518, 0.01234, 1.234e-6, 2_562.5, 1e9)] == [
         "0",
         "41,000",
@@ -323,7 +332,7 @@
     made = types.ModuleType("made")
     made.GROUP, made.measure = "lists", measure
     monkeypatch.setitem(sys.modules, "made", made)
-    monkeypatch.setattr(command, "GROUPS", {"lists": "made"})
+    monkeypatch.setattr(cli, "GROUPS", {"lists": "made"})
 
 
 def test_the_command_measures_stores_and_shows(tmp_path, group, monkeypatch):
@@ -357,7 +366,7 @@
 
 def test_the_command_line_imports_nothing_of_it_before_it_is_asked_for():
     code = (
-        "import sys, oakfork.command; "
+        "import sys, oakfork.cli; "
         "print([name for name in ('numpy', 'scipy', 'oakfork.lab.scale') if name in sys.modules])"
     )
     done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, timeout=60, cwd=ROOT)
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -9,11 +9,11 @@
 import pytest
 import trio
 import trio.testing
-from standins import CUSTOMER, connection, echo, headers, raw, request_bytes, rpc, surroundings
+from fake_services import CUSTOMER, connection, echo, headers, raw, request_bytes, rpc, surroundings
 
 from oakfork.sockets import configuration
 from oakfork.sockets.exchange import BadRequest, Exchange
-from oakfork.sockets.heads import LARGEST_BODY, Message
+from oakfork.sockets.http_connection import LARGEST_BODY, Message
 
 
 def test_bad_input_gets_an_answer_or_a_closed_connection(world):
--- a/tests/test_closes.py
+++ b/tests/test_closes.py
@@ -11,10 +11,10 @@
 import pytest
 import structlog
 import trio
-from standins import echo, request_bytes, rpc, settings, surroundings, until
+from fake_services import echo, request_bytes, rpc, settings, surroundings, until
 
 from oakfork.sockets import configuration
-from oakfork.sockets.clients import IDLE, LINGERING, Client, Clients
+from oakfork.sockets.client_connections import IDLE, LINGERING, Client, Clients
 from oakfork.sockets.exchange import Answer
 from oakfork.sockets.messages import Came, Left
 
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -4,10 +4,10 @@
 import random
 
 import pytest
-from world import birth, entry
+from gateway_network import birth, entry
 
 from oakfork import interface as face
-from oakfork.brain import Brain
+from oakfork.decision import Brain
 from oakfork.interface import SECOND, State, Status
 
 WORK = 1_000  # tenths of a millisecond: the mean work of an RPC here, and its latency at an idle server
@@ -142,7 +142,7 @@
     tier = Tier(1)
     for brain in tier.brains:
         brain.servers.among = 1
-    monkeypatch.setattr("oakfork.brain.servers.Servers.pause", lambda servers, server: 1)
+    monkeypatch.setattr("oakfork.decision.servers.Servers.pause", lambda servers, server: 1)
     tier.run(1)
     with pytest.raises(AssertionError):
         tier.start(0, 100)
--- a/tests/test_command.py
+++ b/tests/test_command.py
@@ -8,12 +8,12 @@
 
 import pytest
 from click.testing import CliRunner
-from labworlds import ROOT
+from lab_worlds import ROOT
 
-from oakfork import format as configuration_format
-from oakfork.command import main
-from oakfork.contracts import book
-from oakfork.fleet import file as fleetfile
+from oakfork import configuration_schema as configuration_format
+from oakfork.cli import main
+from oakfork.contracts import contracts_file
+from oakfork.fleet import config as fleetfile
 from oakfork.lab import experiment as files
 
 
@@ -85,7 +85,7 @@
         ("configuration.md", configuration_format.table()),
         ("lab.md", configuration_format.table(files.SCHEMA)),
         ("fleet.md", configuration_format.table(fleetfile.SCHEMA)),
-        ("contracts.md", configuration_format.table(book.SCHEMA)),
+        ("contracts.md", configuration_format.table(contracts_file.SCHEMA)),
     ):
         text = (ROOT / "docs" / page).read_text()
         for path, kind, meaning in rows:
@@ -93,7 +93,7 @@
 
 
 def test_serving_imports_nothing_of_the_laboratory():
-    heavy = "numpy", "click", "jsonschema", "hdrh", "scipy", "matplotlib", "oakfork.lab", "oakfork.command"
+    heavy = "numpy", "click", "jsonschema", "hdrh", "scipy", "matplotlib", "oakfork.lab", "oakfork.cli"
     code = f"import sys, oakfork.serving; print([name for name in {heavy!r} if name in sys.modules])"
     with os.popen(f'{sys.executable} -c "{code}"') as said:
         assert said.read().strip() == "[]"
--- a/tests/test_contracts.py
+++ b/tests/test_contracts.py
@@ -7,17 +7,17 @@
 import pytest
 import structlog
 import tomli_w
+from fake_services import free_port
 from hypothesis import given, settings, strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
-from standins import free_port
 
-from oakfork.contracts import book as books, dealer, parts, runner
-from oakfork.contracts.gate import BACK, SECOND, Gate, Tenant, fitting
+from oakfork.contracts import allocation, contracts_file as books, runner, shares
+from oakfork.contracts.admission import BACK, SECOND, Gate, Tenant, fitting
 from oakfork.contracts.runner import Contracts, key_of_site
 from oakfork.errors import BookError
-from oakfork.fleet import file as fleetfile
-from oakfork.fleet.post import Post
-from oakfork.leases.lengths import Lengths
+from oakfork.fleet import config as fleetfile
+from oakfork.fleet.transport import Post
+from oakfork.leases.durations import Lengths
 from oakfork.leases.runner import Leases
 
 WINDOW = {"from": "2027-01-01T00:00:00Z", "until": "2027-03-01T00:00:00Z"}
@@ -121,7 +121,7 @@
     @initialize(rates=st.lists(st.integers(900, 1_100), min_size=GATEWAYS, max_size=GATEWAYS), whole=st.integers(1, 90))
     def start(self, rates, whole):
         self.now, self.rates, self.whole = 1_000_000, rates, whole
-        self.parts = [parts.started(parts.even_part(whole, me, GATEWAYS), 0, LENGTHS) for me in range(GATEWAYS)]
+        self.parts = [shares.started(shares.even_part(whole, me, GATEWAYS), 0, LENGTHS) for me in range(GATEWAYS)]
         self.lives, self.asks, self.answers = [0] * GATEWAYS, [], []
         self.loans = 0
 
@@ -141,7 +141,7 @@
     def an_asking_arrives(self, which, may):
         if self.asks:
             me, life, other, amount, asked_at = self.asks[which % len(self.asks)]
-            self.parts[other], amount = parts.lends(self.parts[other], self.clock(other), me, amount, may, LENGTHS)
+            self.parts[other], amount = shares.lends(self.parts[other], self.clock(other), me, amount, may, LENGTHS)
             if amount:
                 self.loans += 1
                 self.answers.append((me, life, other, amount, asked_at))
@@ -151,19 +151,19 @@
         if self.answers:
             me, life, other, amount, asked_at = self.answers[which % len(self.answers)]
             if life == self.lives[me]:
-                self.parts[me] = parts.borrowed(self.parts[me], self.clock(me), other, amount, asked_at, LENGTHS)
+                self.parts[me] = shares.borrowed(self.parts[me], self.clock(me), other, amount, asked_at, LENGTHS)
 
     @rule(me=st.integers(0, GATEWAYS - 1))
     def restarts(self, me):
         self.lives[me] += 1
-        self.parts[me] = parts.started(self.parts[me].even, self.clock(me), LENGTHS)
+        self.parts[me] = shares.started(self.parts[me].even, self.clock(me), LENGTHS)
 
     @invariant()
     def the_parts_never_sum_to_more_than_the_whole(self):
         if hasattr(self, "parts"):
             used = [part.now(self.clock(me)) for me, part in enumerate(self.parts)]
             assert sum(used) <= self.whole * 1000 and min(used) >= 0
-            assert all(len(part.given) <= parts.MOST_LOANS for part in self.parts)
+            assert all(len(part.given) <= shares.MOST_LOANS for part in self.parts)
 
 
 Parts.TestCase.settings = settings(max_examples=80, stateful_step_count=100, deadline=None, derandomize=True)
@@ -196,12 +196,12 @@
     "name, broken, steps",
     [
         ("stretched", lambda self, time: time, [*TWO_BORROW, ("time_goes_on", 950)]),  # a lender counts no margin
-        ("started", lambda even, now, lengths: parts.Part(even, now), [*TWO_BORROW, ("restarts", 0)]),  # used at once
+        ("started", lambda even, now, lengths: shares.Part(even, now), [*TWO_BORROW, ("restarts", 0)]),  # used at once
         ("lent", lambda part, now: sum(loan.amount for loan in part.given[-1:] if now < loan.until), TWO_BORROW),
         (
             "borrowed",
             lambda part, now, lender, amount, asked_at, lengths: part._replace(
-                taken=(*part.taken, parts.Loan(lender, amount, now + lengths.lease))
+                taken=(*part.taken, shares.Loan(lender, amount, now + lengths.lease))
             ),
             LATE,
         ),  # counted from the answer
@@ -209,7 +209,7 @@
 )
 def test_parts_that_are_counted_wrong_are_found_out(name, broken, steps, monkeypatch):
     played(*steps)
-    monkeypatch.setattr(Lengths if name == "stretched" else parts, name, broken)
+    monkeypatch.setattr(Lengths if name == "stretched" else shares, name, broken)
     with pytest.raises(AssertionError):
         played(*steps)
 
@@ -217,20 +217,20 @@
 @settings(max_examples=300, deadline=None, derandomize=True)
 @given(whole=st.integers(1, 500), demand=st.dictionaries(st.integers(0, 9), st.integers(0, 400_000)))
 def test_what_is_dealt_sums_to_the_whole_and_takes_from_nobody_more_than_is_lendable(whole, demand):
-    even = [parts.even_part(whole, gateway, 10) for gateway in range(10)]
-    aims = dealer.targets(even, demand)
+    even = [shares.even_part(whole, gateway, 10) for gateway in range(10)]
+    aims = allocation.targets(even, demand)
     assert sum(aims) <= sum(even) and min(aims) >= 0
-    deals = dealer.dealt(even, demand)
+    deals = allocation.dealt(even, demand)
     for lender, deal in enumerate(deals):
         borrowed = sum(amount for other in deals for who, amount in other.borrows if who == lender)
-        assert borrowed <= deal.lends <= even[lender] * parts.LENDABLE[0] // parts.LENDABLE[1]
-        assert len(deal.borrows) <= dealer.MOST_LENDERS and (lender in demand or not deal.lends)
+        assert borrowed <= deal.lends <= even[lender] * shares.LENDABLE[0] // shares.LENDABLE[1]
+        assert len(deal.borrows) <= allocation.MOST_LENDERS and (lender in demand or not deal.lends)
 
 
 def test_one_that_has_all_the_demand_is_dealt_what_the_others_can_spare():
-    even = [parts.even_part(40, gateway, 4) for gateway in range(4)]
-    assert dealer.targets(even, {0: 60_000, 1: 0, 2: 0, 3: 0})[0] == 37_000  # a tenth stays with each of the others
-    assert dealer.targets(even, {}) == even  # nobody was heard
+    even = [shares.even_part(40, gateway, 4) for gateway in range(4)]
+    assert allocation.targets(even, {0: 60_000, 1: 0, 2: 0, 3: 0})[0] == 37_000  # a tenth stays with each of the others
+    assert allocation.targets(even, {}) == even  # nobody was heard
 
 
 def pressed(gate, tenants, seconds, per_second, who_asks, whole=30_000):
--- a/tests/test_control_bursts.py
+++ b/tests/test_control_bursts.py
@@ -1,12 +1,12 @@
 """Bursts: change sets come faster than those who follow take them, and are merged on the way."""
 
-from controlhand import Hand, P, follows, goes_on, served
-from controlwitness import filled
-from controlworld import World, put
+from control_network import World, put
+from control_peer import Hand, P, follows, goes_on, served
+from control_verifier import filled
 
 from oakfork.control.events import Connected, InForce, TimeCame
-from oakfork.control.feeder import Feeder
 from oakfork.control.follower import Follower
+from oakfork.control.follower_server import Feeder
 from oakfork.control.messages import VERSION, Ack, Beat, Delta, Digests, Want, Welcome
 from oakfork.control.state import Records, as_changes, summed, whole
 
--- a/tests/test_control_bytes.py
+++ b/tests/test_control_bytes.py
@@ -5,11 +5,11 @@
 
 import pytest
 import trio
-from controltier import HERE, LOG, WAIT, play, servers, until
+from control_tier import HERE, LOG, WAIT, play, servers, until
 from test_any_bytes import spoilt
 
-from oakfork.control import agent as agents, client, links, shown, trial
-from oakfork.control.links import framed
+from oakfork.control import agent as agents, client, connections, status_text, trial
+from oakfork.control.connections import framed
 from oakfork.control.messages import (
     VERSION,
     Ack,
@@ -74,7 +74,7 @@
                     case 3:
                         data = data[:-1]
                     case 4:
-                        data = (links.LARGEST_FRAME + 1).to_bytes(4, "big") + data
+                        data = (connections.LARGEST_FRAME + 1).to_bytes(4, "big") + data
                 await stream.send_all(data)
                 if chance.random() < 0.5:
                     with trio.move_on_after(0.02):
@@ -117,7 +117,7 @@
         verdict = await client.publish(it.publisher_at, "more", json.dumps(servers([1], "more")).encode())
         assert verdict.position is None and verdict.faults[0].startswith("older term")
         told = await client.status(it.publisher_at)
-        assert told["higher_term"] == 7 and "OLDER TERM: there is a publisher of term 7" in shown.text(told)
+        assert told["higher_term"] == 7 and "OLDER TERM: there is a publisher of term 7" in status_text.text(told)
         assert all(agent.position == position and agent.record(Kind.SERVICE, "search") for agent in it.agents)
 
     play(tmp_path, work)
--- a/tests/test_control_schema.py
+++ b/tests/test_control_change_schema.py
@@ -8,10 +8,10 @@
 
 import pytest
 from hypothesis import given, settings, strategies as st
-from labworlds import ROOT
+from lab_worlds import ROOT
 
-from oakfork import format as configuration_format
-from oakfork.control import file as files, links, records, schema
+from oakfork import configuration_schema as configuration_format
+from oakfork.control import change_schema, config as files, connections, records
 from oakfork.control.messages import Kind, Row, Verdict, pack, unpack_down
 from oakfork.control.state import Records, as_changes, summed
 from oakfork.errors import ChangeError, ControlError
@@ -40,7 +40,7 @@
 
 
 def parse(change):
-    return schema.parse(json.dumps(change).encode())
+    return change_schema.parse(json.dumps(change).encode())
 
 
 def rows_of(change):
@@ -58,7 +58,7 @@
 
 def a_store():
     store = Records()
-    index = schema.Index(store)
+    index = change_schema.Index(store)
     in_force(store, rows_of(CHANGE), index)
     return store, index
 
@@ -89,11 +89,14 @@
 
 def test_a_change_file_goes_by_zlib_where_that_is_shorter():
     short, long = json.dumps({"id": "a"}).encode(), json.dumps(CHANGE).encode()
-    assert schema.submitted(short) == short and len(schema.submitted(long)) < len(long)
-    assert schema.parse(schema.submitted(long)) == schema.parse(long)
-    for data in (b" " * (schema.LARGEST_CHANGE + 1), random.Random(1).randbytes(schema.LARGEST_SUBMITTED + 1)):
+    assert change_schema.submitted(short) == short and len(change_schema.submitted(long)) < len(long)
+    assert change_schema.parse(change_schema.submitted(long)) == change_schema.parse(long)
+    for data in (
+        b" " * (change_schema.LARGEST_CHANGE + 1),
+        random.Random(1).randbytes(change_schema.LARGEST_SUBMITTED + 1),
+    ):
         with pytest.raises(ChangeError):
-            schema.submitted(data)
+            change_schema.submitted(data)
 
 
 def spoilt(path, value):
@@ -152,7 +155,7 @@
     assert len(parse(change)[1]) == 11
     change["put"]["tenants"] *= 10
     faults = parse(change)[1]
-    assert len(faults) == schema.MOST_FAULTS and faults[-1] == "and 38 more"
+    assert len(faults) == change_schema.MOST_FAULTS and faults[-1] == "and 38 more"
 
 
 @pytest.mark.parametrize(
@@ -167,18 +170,18 @@
         b"7",
         b"null",
         b'{"id": "a", "put": {"servers": [' + b"0," * 100_000 + b"0]}}",
-        b" " * (schema.LARGEST_CHANGE + 1),
+        b" " * (change_schema.LARGEST_CHANGE + 1),
         b'{"id": "a", "drop": {"servers": [' + b'"x",' * 4_096 + b'"x"]}}',
         b"[" * 17 + b"]" * 17,
-        zlib.compress(b" " * (schema.LARGEST_CHANGE + 1)),
+        zlib.compress(b" " * (change_schema.LARGEST_CHANGE + 1)),
         zlib.compress(json.dumps(CHANGE).encode())[:-1],
         b"x",
     ],
     ids=range(15),
 )
 def test_what_is_no_change_file_is_refused(data):
-    rows, faults = schema.parse(data)
-    assert not rows and faults and all(len(fault) <= schema.LONGEST_FAULT for fault in faults)
+    rows, faults = change_schema.parse(data)
+    assert not rows and faults and all(len(fault) <= change_schema.LONGEST_FAULT for fault in faults)
 
 
 @settings(max_examples=150, deadline=None)
@@ -202,7 +205,7 @@
     rows, faults = parse(change)
     assert bool(rows) != bool(faults)
     assert all(row.value is None or records.unpack(row.kind, row.value) is not None for row in rows)
-    assert all(fault.startswith(("put.", "drop.")) for fault in schema.contradictions(Records(), rows))
+    assert all(fault.startswith(("put.", "drop.")) for fault in change_schema.contradictions(Records(), rows))
     pack(Verdict("one", None, tuple(faults)))
 
 
@@ -233,7 +236,7 @@
     store, index = a_store()
     faults = index.contradictions(rows_of({"id": "two"} | change))
     assert any(fault.startswith(said) for fault in faults), faults
-    assert faults == schema.contradictions(store, rows_of({"id": "two"} | change))
+    assert faults == change_schema.contradictions(store, rows_of({"id": "two"} | change))
 
 
 def test_what_only_looks_like_a_contradiction_is_none():
@@ -246,7 +249,7 @@
         {"put": {"servers": [SERVER | {"addr": "b:1"}, SERVER | {"id": "s2"}]}},
     ):
         rows = rows_of({"id": "two"} | change)
-        assert index.contradictions(rows) == [] == schema.contradictions(store, rows), change
+        assert index.contradictions(rows) == [] == change_schema.contradictions(store, rows), change
 
 
 def test_the_index_kept_up_to_date_is_the_one_built_anew():
@@ -260,14 +263,14 @@
         rows = rows_of(change)
         assert index.contradictions(rows) == []
         in_force(store, rows, index)
-        anew = schema.Index(store)
+        anew = change_schema.Index(store)
         assert (index.known, index.users, index.at) == (anew.known, anew.users, anew.at)
 
 
 def test_a_record_that_is_not_readable_breaks_no_index():
     store = Records()
     in_force(store, [Row(Kind.SERVER, "x", b"\xc1"), Row(Kind.ROUTE, "y", b"")])
-    assert not schema.Index(store).known
+    assert not change_schema.Index(store).known
 
 
 @pytest.mark.parametrize("name, read", [("publisher", files.read_publisher), ("relay", files.read_relay)])
@@ -296,14 +299,22 @@
 
 def test_the_page_has_the_keys_as_the_checks_know_them():
     text = (ROOT / "docs/control.md").read_text()
-    for told in (schema.SCHEMA, files.PUBLISHER, files.RELAY):
+    for told in (change_schema.SCHEMA, files.PUBLISHER, files.RELAY):
         for path, kind, meaning in configuration_format.table(told):
             assert f"| `{path}` | {kind} | {meaning} |" in text, path
 
 
 def reasons():
     """All that is counted by a name: the words stand in the calls that count, in the code."""
-    found = {links.ENDED, links.IN_FRAME, links.FOREIGN, links.STALLED, links.UNTAKEN, links.FULL, links.CLOSED}
+    found = {
+        connections.ENDED,
+        connections.IN_FRAME,
+        connections.FOREIGN,
+        connections.STALLED,
+        connections.UNTAKEN,
+        connections.FULL,
+        connections.CLOSED,
+    }
     found = {f"connection: {ending}" for ending in found}
     for path in (ROOT / "oakfork/control").glob("*.py"):
         for node in ast.walk(ast.parse(path.read_text())):
--- a/tests/test_control_circles.py
+++ b/tests/test_control_circles.py
@@ -1,8 +1,8 @@
 """Relays whose upstreams lead round: each finds by a Beat's way that it follows itself, and turns to another."""
 
 import pytest
-from controlhand import Hand, follows
-from controlworld import World, put
+from control_network import World, put
+from control_peer import Hand, follows
 
 from oakfork.control.events import Connected, TimeCame
 from oakfork.control.messages import BEAT, MOST_WAY, VERSION, Beat, Position, Welcome
--- a/tests/test_control_links.py
+++ b/tests/test_control_connections.py
@@ -8,8 +8,8 @@
 import trio
 import trio.testing
 
-from oakfork.control import links
-from oakfork.control.links import Link, framed
+from oakfork.control import connections
+from oakfork.control.connections import Link, framed
 
 WAIT = 25  # seconds; nothing waits so long unless it is broken
 
@@ -17,7 +17,7 @@
 def ending_of(act, monkeypatch, **bounds):
     """How a link ends whose other end acts so, and what it took."""
     for name, value in bounds.items():
-        monkeypatch.setattr(links, name, value)
+        monkeypatch.setattr(connections, name, value)
     taken = []
 
     async def take(body):
@@ -25,7 +25,7 @@
 
     async def main():
         ours, theirs = socket.socketpair()
-        link = Link(trio.SocketStream(trio.socket.from_stdlib_socket(ours)), bounds.get("FIRST", links.FIRST))
+        link = Link(trio.SocketStream(trio.socket.from_stdlib_socket(ours)), bounds.get("FIRST", connections.FIRST))
         async with trio.SocketStream(trio.socket.from_stdlib_socket(theirs)) as other, trio.open_nursery() as nursery:
             nursery.start_soon(act, link, other)
             with trio.fail_after(WAIT):
@@ -72,7 +72,7 @@
 
 
 def zipped(data):
-    return (len(data) | links.ZIPPED).to_bytes(4, "big") + data
+    return (len(data) | connections.ZIPPED).to_bytes(4, "big") + data
 
 
 LONG = b"word" * 50_000
@@ -81,24 +81,29 @@
 @pytest.mark.parametrize(
     "act, bounds, ending, taken",
     [
-        (sends(framed(b"one") + framed(b"two")[:2], framed(b"two")[2:]), {}, links.ENDED, [b"one", b"two"]),
-        (sends(framed(b"one") + b"\0\0\0\5abc"), {}, links.IN_FRAME, [b"one"]),
-        (sends(), {}, links.ENDED, []),
-        (sends(b"\0\0\0\0"), {}, links.FOREIGN, []),
-        (sends(b"\xff\xff\xff\xff"), {}, links.FOREIGN, []),
-        (waits, {"WHOLE": 0.02}, links.STALLED, [b"one"]),
-        (lambda *_: trio.sleep_forever(), {"FIRST": 0.02}, links.STALLED, []),
-        (sends(framed(LONG), framed(NOISE[:200_000])), {}, links.ENDED, [LONG, NOISE[:200_000]]),
-        (sends(zipped(zlib.compress(bytes(links.LARGEST_FRAME)))), {}, links.ENDED, [bytes(links.LARGEST_FRAME)]),
-        (sends(zipped(zlib.compress(bytes(links.LARGEST_FRAME + 1)))), {}, links.FOREIGN, []),
-        (sends(zipped(zlib.compress(bytes(10_000_000)))), {}, links.FOREIGN, []),
-        (sends(zipped(zlib.compress(LONG)[:-1])), {}, links.FOREIGN, []),
-        (sends(zipped(zlib.compress(LONG) + b"more")), {}, links.FOREIGN, []),
-        (sends(zipped(b"not by zlib")), {}, links.FOREIGN, []),
-        (sends(zipped(b"")), {}, links.FOREIGN, []),
-        (never_reads, {"TAKEN": 0.02}, links.UNTAKEN, []),
-        (too_much, {}, links.FULL, []),
-        (closes, {}, links.CLOSED, []),
+        (sends(framed(b"one") + framed(b"two")[:2], framed(b"two")[2:]), {}, connections.ENDED, [b"one", b"two"]),
+        (sends(framed(b"one") + b"\0\0\0\5abc"), {}, connections.IN_FRAME, [b"one"]),
+        (sends(), {}, connections.ENDED, []),
+        (sends(b"\0\0\0\0"), {}, connections.FOREIGN, []),
+        (sends(b"\xff\xff\xff\xff"), {}, connections.FOREIGN, []),
+        (waits, {"WHOLE": 0.02}, connections.STALLED, [b"one"]),
+        (lambda *_: trio.sleep_forever(), {"FIRST": 0.02}, connections.STALLED, []),
+        (sends(framed(LONG), framed(NOISE[:200_000])), {}, connections.ENDED, [LONG, NOISE[:200_000]]),
+        (
+            sends(zipped(zlib.compress(bytes(connections.LARGEST_FRAME)))),
+            {},
+            connections.ENDED,
+            [bytes(connections.LARGEST_FRAME)],
+        ),
+        (sends(zipped(zlib.compress(bytes(connections.LARGEST_FRAME + 1)))), {}, connections.FOREIGN, []),
+        (sends(zipped(zlib.compress(bytes(10_000_000)))), {}, connections.FOREIGN, []),
+        (sends(zipped(zlib.compress(LONG)[:-1])), {}, connections.FOREIGN, []),
+        (sends(zipped(zlib.compress(LONG) + b"more")), {}, connections.FOREIGN, []),
+        (sends(zipped(b"not by zlib")), {}, connections.FOREIGN, []),
+        (sends(zipped(b"")), {}, connections.FOREIGN, []),
+        (never_reads, {"TAKEN": 0.02}, connections.UNTAKEN, []),
+        (too_much, {}, connections.FULL, []),
+        (closes, {}, connections.CLOSED, []),
     ],
 )
 def test_every_way_in_which_one_ends_has_its_name(monkeypatch, act, bounds, ending, taken):
--- a/tests/test_control_store.py
+++ b/tests/test_control_database.py
@@ -8,19 +8,19 @@
 import sys
 
 import pytest
-from labworlds import ROOT
+from lab_worlds import ROOT
 
-from oakfork.control import store as stores
+from oakfork.control import database as stores
+from oakfork.control.database import Database
 from oakfork.control.messages import Kind, Position, Row
 from oakfork.control.state import Records, as_changes, summed, whole
-from oakfork.control.store import Database
 from oakfork.errors import DatabaseError
 
 CHILD = """
 import sys
 from oakfork.control.messages import Kind, Position, Row
 from oakfork.control.state import as_changes, summed, whole
-from oakfork.control.store import Database
+from oakfork.control.database import Database
 database = Database(sys.argv[1], most_log=5)
 records, number = database.loaded.records, database.position.number
 term = database.begin_term()
@@ -40,7 +40,7 @@
 import sys, threading, time
 from oakfork.control.messages import Kind, Position, Row
 from oakfork.control.state import as_changes, summed, whole
-from oakfork.control.store import Database
+from oakfork.control.database import Database
 from oakfork.errors import DatabaseError
 
 def work(database, term):
--- a/tests/test_control_follower.py
+++ b/tests/test_control_follower.py
@@ -1,7 +1,7 @@
 """The follower, said to by hand: what it believes, what has no effect, when it turns to another."""
 
-from controlwitness import filled
-from controlworld import put
+from control_network import put
+from control_verifier import filled
 
 from oakfork.control import follower as module
 from oakfork.control.events import (
--- a/tests/test_control_feeder.py
+++ b/tests/test_control_follower_server.py
@@ -1,12 +1,12 @@
 """The feeder, spoken to by hand: who is sent what, in which turn, and who is closed."""
 
 import msgspec
-from controlhand import Hand, P, follows, goes_on, served
-from controlworld import put
+from control_network import put
+from control_peer import Hand, P, follows, goes_on, served
 
-from oakfork.control import feeder as feeding, frames
+from oakfork.control import encoded_frames, follower_server as feeding
 from oakfork.control.events import UNKNOWN, Connected, Left, Lost
-from oakfork.control.feeder import NAMELESS, SLOW, Feeder
+from oakfork.control.follower_server import NAMELESS, SLOW, Feeder
 from oakfork.control.messages import (
     BEAT,
     VERSION,
@@ -92,7 +92,7 @@
 
 
 def test_a_delta_of_many_frames_goes_one_frame_an_ack(monkeypatch):
-    monkeypatch.setattr(frames, "FRAME_ROWS", 2)
+    monkeypatch.setattr(encoded_frames, "FRAME_ROWS", 2)
     hand = served()
     follows(hand, 1)
     hand.new(1)
@@ -108,7 +108,7 @@
 
 
 def test_half_sent_deltas_are_few_and_the_others_wait_for_them(monkeypatch):
-    monkeypatch.setattr(frames, "FRAME_ROWS", 1)
+    monkeypatch.setattr(encoded_frames, "FRAME_ROWS", 1)
     monkeypatch.setattr(feeding, "DELTAS", 1)
     hand = served()
     for link in (1, 2, 3):
--- a/tests/test_control_gateway.py
+++ b/tests/test_control_gateway.py
@@ -8,8 +8,8 @@
 
 import tomli_w
 import trio
-from labworlds import ROOT
-from standins import StandIn, echo, entry, free_port, rpc, started, told, until
+from fake_services import StandIn, echo, entry, free_port, rpc, started, told, until
+from lab_worlds import ROOT
 
 from oakfork.control import client, trial
 
@@ -89,7 +89,7 @@
         [
             sys.executable,
             "-c",
-            "import sys, oakfork.sockets.gateway, oakfork.fleet.part; "
+            "import sys, oakfork.sockets.gateway, oakfork.fleet.services; "
             "print([name for name in sys.modules if name.startswith('oakfork.control')])",
         ],
         capture_output=True,
--- a/tests/test_control_home.py
+++ b/tests/test_control_home.py
@@ -2,7 +2,7 @@
 
 from collections import Counter
 
-from controlworld import World, put
+from control_network import World, put
 
 from oakfork.control.follower import HOME, LONGEST_HOME, Phase
 
--- a/tests/test_control_machines.py
+++ b/tests/test_control_machines.py
@@ -1,10 +1,10 @@
-"""Publishers, relays and followers together on a simulated network, before a witness (controlworld.py)."""
+"""Publishers, relays and followers together on a simulated network, before a witness (control_network.py)."""
 
 import random
 
 import pytest
-from controlfleet import SETTLED, fleet, gateways, short_histories, some_rows, status
-from controlworld import Disk, World, put
+from control_fleets import SETTLED, fleet, gateways, short_histories, some_rows, status
+from control_network import Disk, World, put
 
 from oakfork.control.follower import HOME, LONGEST_HOME
 from oakfork.control.messages import Kind, Position
--- a/tests/test_control_publisher.py
+++ b/tests/test_control_publisher.py
@@ -2,13 +2,14 @@
 
 import msgspec
 import pytest
-from controlhand import Hand, P, follows
-from controlwitness import filled
-from controlworld import contradictions, parse, put
+from control_network import contradictions, parse, put
+from control_peer import Hand, P, follows
+from control_verifier import filled
 
-from oakfork.control import roster as rosters
+from oakfork.control import follower_registry as rosters
 from oakfork.control.events import UNKNOWN, Connected, Lost, NotStored, NotUnkept, Stored, TimeCame, Unkept
-from oakfork.control.feeder import NAMELESS
+from oakfork.control.follower_registry import FORGOTTEN, Roster
+from oakfork.control.follower_server import NAMELESS
 from oakfork.control.messages import (
     BEAT,
     EMPTY,
@@ -25,10 +26,9 @@
     Verdict,
     Welcome,
 )
-from oakfork.control.others import ASK, Others
+from oakfork.control.other_publishers import ASK, Others
 from oakfork.control.publisher import ASKERS, QUEUED, Publisher
 from oakfork.control.relay import REPORT, Relay
-from oakfork.control.roster import FORGOTTEN, Roster
 from oakfork.control.state import Records, whole
 from oakfork.errors import DatabaseError
 
--- a/tests/test_control_recall.py
+++ b/tests/test_control_recall.py
@@ -3,12 +3,12 @@
 import itertools
 
 import pytest
-from controlhand import Hand, P, follows, goes_on, served
-from controlworld import put
+from control_network import put
+from control_peer import Hand, P, follows, goes_on, served
 from hypothesis import given, settings, strategies as st
 
 from oakfork.control.events import Connected, Lost, TimeCame
-from oakfork.control.feeder import RECALLING
+from oakfork.control.follower_server import RECALLING
 from oakfork.control.framing import framed
 from oakfork.control.history import PAST_KEYS, PAST_STEPS, History
 from oakfork.control.messages import (
--- a/tests/test_control_scale.py
+++ b/tests/test_control_scale.py
@@ -6,27 +6,27 @@
 import pytest
 import trio
 
-from oakfork.control import schema
+from oakfork.control import change_schema
 from oakfork.control.messages import EMPTY, Kind, Position, Row
 from oakfork.control.state import record_digest, whole
-from oakfork.lab.scale import control, fleetplay, made
-from oakfork.lab.scale.beside import Own
-from oakfork.lab.scale.fleetwitness import Acked, End, Reached, Seen, digest_of, expected, judge
-from oakfork.lab.scale.hollow import HollowStore, Values
+from oakfork.lab.scale import control_costs, fleet_run, generated_state
+from oakfork.lab.scale.fleet_verifier import Acked, End, Reached, Seen, digest_of, expected, judge
+from oakfork.lab.scale.hollow_gateways import HollowStore, Values
+from oakfork.lab.scale.real_gateways import Own
 
-SHAPE = fleetplay.Shape()  # 60 hollow gateways, three relays, 1,500 records
+SHAPE = fleet_run.Shape()  # 60 hollow gateways, three relays, 1,500 records
 AIM_MS = 16_000  # from acknowledged to in force everywhere
 SPAN, HOLDS, EVERY, SETTLED = 3.0, 6.5, 0.25, 40.0  # seconds; one that holds for longer than SILENCE is left
 
 
 @pytest.mark.parametrize("seed", [1, 2])
 def test_through_faults_nothing_acknowledged_is_lost_and_all_are_equal_in_the_end(tmp_path, seed):
-    plan = fleetplay.drawn(seed, SHAPE, SPAN, HOLDS)
-    assert {fault.kind for fault in plan} == set(fleetplay.KINDS)
-    fleet = fleetplay.Fleet(tmp_path, SHAPE, seed)
+    plan = fleet_run.drawn(seed, SHAPE, SPAN, HOLDS)
+    assert {fault.kind for fault in plan} == set(fleet_run.KINDS)
+    fleet = fleet_run.Fleet(tmp_path, SHAPE, seed)
 
     async def play(fleet):
-        await fleet.faults(plan, made.Changes(SHAPE.sizes, seed, paired=True), EVERY, SETTLED)
+        await fleet.faults(plan, generated_state.Changes(SHAPE.sizes, seed, paired=True), EVERY, SETTLED)
 
     trio.run(fleet.run, play)
     assert fleet.judged() == []
@@ -39,10 +39,10 @@
 
 
 def test_with_one_relay_gone_it_is_in_force_everywhere_within_the_aim(tmp_path):
-    fleet = fleetplay.Fleet(tmp_path, SHAPE, 3)
+    fleet = fleet_run.Fleet(tmp_path, SHAPE, 3)
 
     async def play(fleet):
-        changes = made.Changes(SHAPE.sizes, 3, paired=True)
+        changes = generated_state.Changes(SHAPE.sizes, 3, paired=True)
         await fleet.kill("relay-1")
         for _ in range(5):
             position = await fleet.publish(changes.some())
@@ -56,47 +56,49 @@
 
 def test_the_measured_plays_run_with_bursts_and_a_cold_zone_at_a_small_size():
     told = []
-    played = control.Player(control.SMALL, control.SMALL.gateways[-1], told.append).run()
-    assert len(played.lasts_s) == len(played.medians_s) == control.SMALL.changes
+    played = control_costs.Player(control_costs.SMALL, control_costs.SMALL.gateways[-1], told.append).run()
+    assert len(played.lasts_s) == len(played.medians_s) == control_costs.SMALL.changes
     assert played.rest.came > 0 and played.changes.came > 0 and played.changes.gateways_s > 0
     zone, back, bunched = (played.more[name] for name in ("zone gone", "zone back", "bunched"))
     assert zone["records"] == back["records"] == 25 and zone["spread"]["values"] == 16
-    assert bunched["change_sets"] == control.SMALL.bunched and bunched["spread"]["values"] == 16 * 20
+    assert bunched["change_sets"] == control_costs.SMALL.bunched and bunched["spread"]["values"] == 16 * 20
     beside = played.more["beside"]
     assert beside["change_sets"] > 0 and set(beside["added"]) == {"with changes", "without changes"}
     for kind in ("direct", *beside["added"]):
         answers = beside["client"][kind]["answers"]
         assert answers["200"] >= 0.9 * sum(answers.values()) and sum(answers.values()) > 10
-    assert played.more["cold"]["ready"] == control.SMALL.cold and played.more["one relay gone"]["values"] == 2 * 16
+    assert (
+        played.more["cold"]["ready"] == control_costs.SMALL.cold and played.more["one relay gone"]["values"] == 2 * 16
+    )
 
 
 def test_what_rest_takes_is_taken_off_for_the_time_between_the_marks():
-    rest = control.Cost(10, 10, 100, 50, 2.0, 1.0)
-    assert control.Cost(1, 2, 70, 10, 1.0, 0.5).beyond(rest) == control.Cost(1, 2, 50, 0, 0.6, 0.3)
+    rest = control_costs.Cost(10, 10, 100, 50, 2.0, 1.0)
+    assert control_costs.Cost(1, 2, 70, 10, 1.0, 0.5).beyond(rest) == control_costs.Cost(1, 2, 50, 0, 0.6, 0.3)
 
 
 def test_a_plan_is_that_of_its_seed():
-    assert fleetplay.drawn(7, SHAPE, 3, 6) == fleetplay.drawn(7, SHAPE, 3, 6) != fleetplay.drawn(8, SHAPE, 3, 6)
+    assert fleet_run.drawn(7, SHAPE, 3, 6) == fleet_run.drawn(7, SHAPE, 3, 6) != fleet_run.drawn(8, SHAPE, 3, 6)
     for seed in range(50):
-        cut = next(one for one in fleetplay.drawn(seed, fleetplay.FULL, 3, 6) if one.kind == "cut region")
+        cut = next(one for one in fleet_run.drawn(seed, fleet_run.FULL, 3, 6) if one.kind == "cut region")
         assert 0 <= cut.whom < 5  # of seven regions with twelve relays, these have two
 
 
 def test_change_files_are_read_as_the_rows_that_were_made():
-    changes = made.Changes(made.SMALL, 1, paired=True)
+    changes = generated_state.Changes(generated_state.SMALL, 1, paired=True)
     sets = [changes.some(6) for _ in range(40)] + changes.zone_gone(3) + changes.zone_back(3)
     for one in sets:
-        rows, faults = schema.parse(one.file)
-        assert not faults and tuple(rows) == one.rows and schema.id_of(one.file) == one.id
-    assert len(list(made.base(made.SMALL))) == sum(made.SMALL) == 1_500
+        rows, faults = change_schema.parse(one.file)
+        assert not faults and tuple(rows) == one.rows and change_schema.id_of(one.file) == one.id
+    assert len(list(generated_state.base(generated_state.SMALL))) == sum(generated_state.SMALL) == 1_500
     own = Own(["127.0.0.1:1", "127.0.0.1:2"])
     for one in (own.begin(), own.turn(), own.turn()):
-        assert tuple(schema.parse(one.file)[0]) == one.rows and not schema.parse(one.file)[1]
-    big = made.Changes(made.FULL, 1)
+        assert tuple(change_schema.parse(one.file)[0]) == one.rows and not change_schema.parse(one.file)[1]
+    big = generated_state.Changes(generated_state.FULL, 1)
     assert [len(one.rows) for one in big.zone_gone(0)] == [2_560]
     back = big.zone_back(0)
     assert sum(len(one.rows) for one in back) == 2_560
-    assert all(not schema.parse(one.file)[1] for one in back)
+    assert all(not change_schema.parse(one.file)[1] for one in back)
 
 
 def test_a_hollow_store_looks_up_what_was_in_force_at_its_own_position():
@@ -123,8 +125,8 @@
 
 def seen():
     """A play of three followers in which all is well, and what a witness is to find where it isn't."""
-    chance, base = random.Random(5), list(made.base(made.Sizes(4, 2, 3, 4)))
-    acked, changes = [], made.Changes(made.Sizes(4, 2, 3, 4), 5)
+    chance, base = random.Random(5), list(generated_state.base(generated_state.Sizes(4, 2, 3, 4)))
+    acked, changes = [], generated_state.Changes(generated_state.Sizes(4, 2, 3, 4), 5)
     for number in range(6, 9):
         acked.append(Acked(f"set-{number}", Position(2, number), 100 * number, changes.some(2).rows))
     right = expected(base, 5, acked)
@@ -137,8 +139,8 @@
 
 
 def test_the_witness_reckons_digests_as_the_state_does_by_itself():
-    store = made.store(made.SMALL)
-    assert sum(digest_of(row) for row in made.base(made.SMALL)) % (1 << 64) == whole(store.sums)
+    store = generated_state.store(generated_state.SMALL)
+    assert sum(digest_of(row) for row in generated_state.base(generated_state.SMALL)) % (1 << 64) == whole(store.sums)
     assert judge(seen()) == []
 
 
--- a/tests/test_control_services.py
+++ b/tests/test_control_services.py
@@ -10,16 +10,16 @@
 import pytest
 import trio
 from click.testing import CliRunner
-from controltier import HERE, LOG, WAIT, place_of, play, servers, until
-from labworlds import ROOT
-
-from oakfork.control import agent as agents, client, links, shown, trial
-from oakfork.control.command import control
-from oakfork.control.file import PublisherFile
-from oakfork.control.links import framed, listen
+from control_tier import HERE, LOG, WAIT, place_of, play, servers, until
+from lab_worlds import ROOT
+
+from oakfork.control import agent as agents, client, connections, status_text, trial
+from oakfork.control.cli import control
+from oakfork.control.config import PublisherFile
+from oakfork.control.connections import framed, listen
+from oakfork.control.database import Database
 from oakfork.control.messages import VERSION, Hello, Kind, Position, pack
-from oakfork.control.running import publisher_engine
-from oakfork.control.store import Database
+from oakfork.control.processes import publisher_engine
 from oakfork.errors import DatabaseError, PublisherSilent
 from oakfork.sockets.configuration import address
 
@@ -49,9 +49,9 @@
         page = (ROOT / "docs/control.md").read_text()
         for place in (it.publisher_at, it.relays_at[0]):
             assert not [key for key in await client.status(place) if f"`{key}`" not in page]
-        text = shown.text(await client.status(it.publisher_at))
+        text = status_text.text(await client.status(it.publisher_at))
         assert "in force at all 5 that are connected" in text and "relay   here/r1" in text
-        assert "follows " + it.publisher_at in shown.text(await client.status(it.relays_at[0]))
+        assert "follows " + it.publisher_at in status_text.text(await client.status(it.relays_at[0]))
 
     play(tmp_path, work)
 
@@ -113,7 +113,7 @@
         async def between(stream):
             async with await trio.open_tcp_stream(*address(it.publisher_at)) as behind:
                 data = b""
-                while len(data) < 4 or len(data) < 4 + (int.from_bytes(data[:4], "big") & ~links.ZIPPED):
+                while len(data) < 4 or len(data) < 4 + (int.from_bytes(data[:4], "big") & ~connections.ZIPPED):
                     data += await stream.receive_some()
                 await behind.send_all(data)
                 answer = await behind.receive_some()
@@ -160,7 +160,7 @@
                     await trio.sleep(0.02)
                     told = await client.status(it.publisher_at)
             assert not told["everywhere"]
-            assert "behind  slow: 0.0, for " in shown.text(told)
+            assert "behind  slow: 0.0, for " in status_text.text(told)
         told = await it.everywhere(position)
         assert [row["who"] for row in told["gone"]] == ["slow"]
 
@@ -258,11 +258,11 @@
 
         done = said("publish", str(tmp_path / "one.json"), "--to", place)
         assert done.exit_code == 0 and "position 1.1" in done.output
-        trial.everywhere(place, lambda told: shown.whole(told, (1, 1), 3))
+        trial.everywhere(place, lambda told: status_text.whole(told, (1, 1), 3))
         processes.kill("relay-1")
         done = said("publish", str(tmp_path / "two.json"), "--to", place)
         assert done.exit_code == 0 and "position 1.2" in done.output
-        trial.everywhere(place, lambda told: shown.whole(told, (1, 2), 3) and len(told["relays"]) == 1)
+        trial.everywhere(place, lambda told: status_text.whole(told, (1, 2), 3) and len(told["relays"]) == 1)
         done = said("publish", str(tmp_path / "bad.json"), "--to", place)
         assert done.exit_code == 2 and "put.tenants[0]: 'id' is a required property" in done.output
         processes.kill("publisher")
@@ -274,7 +274,7 @@
         processes.listens("publisher")
         done = said("publish", str(tmp_path / "two.json"), "--to", place)  # as if its answer had been lost
         assert done.exit_code == 0 and "position 1.2" in done.output
-        trial.everywhere(place, lambda told: shown.whole(told, (2, 2), 3))
+        trial.everywhere(place, lambda told: status_text.whole(told, (2, 2), 3))
         assert "in force at all 4 that are connected" in said("status", place).output
         assert json.loads(said("status", "--json", place).output)["position"] == [2, 2]
     finally:
@@ -309,7 +309,7 @@
                 f'name = "p"\nregion = "here"\nlisten = "127.0.0.1:{port}"\n' f'database = "{tmp_path / name}"\n'
             )
             done = subprocess.run(
-                [sys.executable, "-m", "oakfork.control.command", "publisher", str(file)],
+                [sys.executable, "-m", "oakfork.control.cli", "publisher", str(file)],
                 capture_output=True,
                 text=True,
                 timeout=20,
--- a/tests/test_control_state.py
+++ b/tests/test_control_state.py
@@ -3,12 +3,12 @@
 from array import array
 
 import pytest
-from controlwitness import filled
-from controlworld import put
+from control_network import put
+from control_verifier import filled
 from hypothesis import given, settings, strategies as st
 
-from oakfork.control import frames, messages, state
-from oakfork.control.frames import Changed, Ranges, cut
+from oakfork.control import encoded_frames, messages, state
+from oakfork.control.encoded_frames import Changed, Ranges, cut
 from oakfork.control.history import History
 from oakfork.control.messages import RANGES, Delta, Kind, Position, Range, Row, pack, unpack_down, unpack_up
 from oakfork.control.pacing import Pace
@@ -183,7 +183,7 @@
 
 def test_a_delta_is_cut_by_rows_and_by_bytes_and_comes_whole():
     for changes in (
-        {(Kind.SERVER, f"s{number}"): b"v" for number in range(2 * frames.FRAME_ROWS + 1)},
+        {(Kind.SERVER, f"s{number}"): b"v" for number in range(2 * encoded_frames.FRAME_ROWS + 1)},
         {(Kind.ROUTE, f"é{number}"): bytes(4000) for number in range(50)},
         {},
     ):
@@ -191,7 +191,7 @@
         while True:
             frame = delta.frame(number)
             told = unpack_down(frame)
-            assert len(frame) < frames.FRAME_BYTES + 5000 < messages.LARGEST_FRAME
+            assert len(frame) < encoded_frames.FRAME_BYTES + 5000 < messages.LARGEST_FRAME
             assert (told.after, told.position, told.digest) == (Position(1, 1), Position(1, 2), 7)
             assert told.more != delta.last(number)
             rows += told.rows
@@ -231,11 +231,11 @@
 def test_change_sets_that_wait_for_the_index_are_bounded():
     store = Records()
     ranges = Ranges(store)
-    for number in range(3 * frames.BACKLOG):
+    for number in range(3 * encoded_frames.BACKLOG):
         changes = {(Kind.SERVER, f"s{number}-{each}"): b"x" for each in range(2 * SLICE)}
         store.commit(changes, summed(store, changes))
         ranges.changed(changes)
-        assert len(ranges.behind) <= frames.BACKLOG
+        assert len(ranges.behind) <= encoded_frames.BACKLOG
     while not ranges.ready:
         ranges.work()
     assert sum(len(keys) for keys in ranges.keys.values()) == len(store)
--- a/tests/test_control_witness.py
+++ b/tests/test_control_verifier.py
@@ -1,18 +1,18 @@
-"""Machines that are broken on purpose, each in a scene where the right one does well: the witness of controlworld.py
+"""Machines that are broken on purpose, each in a scene where the right one does well: the witness of control_network.py
 must find every one.
 """
 
 import msgspec
 import pytest
-from controlfleet import fleet, with_feeder
-from controlwitness import Wrong
-from controlworld import Disk, World, put
+from control_fleets import fleet, with_feeder
+from control_network import Disk, World, put
+from control_verifier import Wrong
 
-from oakfork.control import frames
+from oakfork.control import encoded_frames
+from oakfork.control.encoded_frames import Changed
 from oakfork.control.events import Say
-from oakfork.control.feeder import Feeder, Turn
 from oakfork.control.follower import Follower
-from oakfork.control.frames import Changed
+from oakfork.control.follower_server import Feeder, Turn
 from oakfork.control.messages import Kind, Position, Verdict, pack
 from oakfork.control.publisher import Publisher
 
@@ -180,7 +180,7 @@
 
 @pytest.mark.parametrize("scene, right, broken, found", BROKEN, ids=[each[2].__name__ for each in BROKEN])
 def test_the_witness_finds_what_is_broken_and_nothing_where_it_is_not(scene, right, broken, found, monkeypatch):
-    monkeypatch.setattr(frames, "FRAME_ROWS", 5)
+    monkeypatch.setattr(encoded_frames, "FRAME_ROWS", 5)
     world = scene(right)
     if scene is older_term:
         assert world.nodes["g"].machine.position == Position(2, 2) and world.nodes["g"].counts["older term"]
--- a/tests/test_keeper.py
+++ b/tests/test_decision_loop.py
@@ -10,20 +10,20 @@
 import structlog
 import trio
 import trio.testing
-from standins import CUSTOMER, StandIn, surroundings
+from fake_services import CUSTOMER, StandIn, surroundings
 
 from oakfork import interface as face
-from oakfork.brain import Brain
+from oakfork.decision import Brain
 from oakfork.errors import Break
 from oakfork.interface import NEVER_RAN, Status
 from oakfork.sockets import configuration
-from oakfork.sockets.counter import Counter, _result as counter_result
-from oakfork.sockets.endings import STATUS, Ending
+from oakfork.sockets.counter_client import Counter, _result as counter_result
+from oakfork.sockets.decision_loop import Keeper
 from oakfork.sockets.exchange import Exchange
-from oakfork.sockets.heads import LARGEST_BODY, Link, Message, connect, plain
-from oakfork.sockets.keeper import Keeper
+from oakfork.sockets.http_connection import LARGEST_BODY, Link, Message, connect, plain
 from oakfork.sockets.messages import Came
-from oakfork.sockets.servers import REST, Servers
+from oakfork.sockets.outcomes import STATUS, Ending
+from oakfork.sockets.server_connections import REST, Servers
 
 
 def test_every_ending_means_one_status():
--- a/tests/test_brain.py
+++ b/tests/test_decision_module.py
@@ -1,8 +1,8 @@
 """The rules after every step of seeded worlds, and the way of an RPC."""
 
 import pytest
-from gateways import ended, gateway, kinds
-from world import METHODS, World, arrival
+from decision_modules import ended, gateway, kinds
+from gateway_network import METHODS, World, arrival
 
 from oakfork import interface as face
 from oakfork.interface import SECOND, Status
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -11,15 +11,15 @@
 import structlog
 import trio
 import trio.testing
-from world import birth
+from gateway_network import birth
 
 from oakfork import interface as face
-from oakfork.brain import Brain
+from oakfork.decision import Brain
 from oakfork.errors import Break
 from oakfork.interface import SECOND
 from oakfork.sockets import discovery as watches
-from oakfork.sockets.endings import Ending
 from oakfork.sockets.messages import Listed
+from oakfork.sockets.outcomes import Ending
 
 ENTRY = {"id": "s-1", "addr": "127.0.0.1:1", "state": "up"}
 
--- a/tests/test_drills.py
+++ b/tests/test_drills.py
@@ -9,19 +9,19 @@
 import time
 
 import pytest
-from gateways import gateway, kinds
-from labworlds import ROOT
-from standins import free_port, until
-from world import arrival
+from decision_modules import gateway, kinds
+from fake_services import free_port, until
+from gateway_network import arrival
+from lab_worlds import ROOT
 
 from oakfork import interface as face
-from oakfork.lab import schedule
-from oakfork.lab.contractdrill import CAPACITY, RESERVED, contract_drill
-from oakfork.lab.drills import lease_drill, plain_configuration
-from oakfork.lab.schedule import HOLDER, Trouble
-from oakfork.lab.witness import Taken, faults, gap
+from oakfork.lab import fault_schedule
+from oakfork.lab.contract_drill import CAPACITY, RESERVED, contract_drill
+from oakfork.lab.fault_schedule import HOLDER, Trouble
+from oakfork.lab.fenced_resource import Taken, faults, gap
+from oakfork.lab.lease_drill import lease_drill, plain_configuration
 from oakfork.leases import fence
-from oakfork.leases.lengths import Lengths
+from oakfork.leases.durations import Lengths
 
 
 @pytest.mark.timeout(90)
@@ -30,8 +30,8 @@
     drill = lease_drill(seed, keep=tmp_path)
     assert not drill.faults
     assert drill.acts > 20 and drill.done, "a drill in which nobody acts shows nothing"
-    drawn, told = schedule.read(tmp_path / f"leases-{seed}.json")
-    assert drawn == schedule.draw(seed, 3, 5.0, 0.4, range(3)) and told["played"] == drill.done
+    drawn, told = fault_schedule.read(tmp_path / f"leases-{seed}.json")
+    assert drawn == fault_schedule.draw(seed, 3, 5.0, 0.4, range(3)) and told["played"] == drill.done
 
 
 @pytest.mark.timeout(90)
@@ -56,9 +56,13 @@
 
 
 def test_the_same_seed_draws_the_same_schedule():
-    assert schedule.draw(5, 3, 9.0, 0.4) == schedule.draw(5, 3, 9.0, 0.4) != schedule.draw(6, 3, 9.0, 0.4)
-    kinds = {trouble.kind for seed in range(30) for trouble in schedule.draw(seed, 3, 9.0, 0.4)}
-    assert kinds == set(schedule.KINDS)
+    assert (
+        fault_schedule.draw(5, 3, 9.0, 0.4)
+        == fault_schedule.draw(5, 3, 9.0, 0.4)
+        != fault_schedule.draw(6, 3, 9.0, 0.4)
+    )
+    kinds = {trouble.kind for seed in range(30) for trouble in fault_schedule.draw(seed, 3, 9.0, 0.4)}
+    assert kinds == set(fault_schedule.KINDS)
 
 
 def modules_of(*words, **more):
--- a/tests/test_earlier.py
+++ b/tests/test_earlier.py
@@ -1,11 +1,11 @@
 """What is kept under a small index, a customer or a serial must not speak for its next bearer; units go back once."""
 
 import pytest
-from gateways import ended, frame_of, gateway, kinds, owned_by
-from world import PLANS, arrival, birth, entry
+from decision_modules import ended, frame_of, gateway, kinds, owned_by
+from gateway_network import PLANS, arrival, birth, entry
 
-from oakfork import interface as face, peerwire as wire
-from oakfork.brain import Brain
+from oakfork import interface as face, peer_codec as wire
+from oakfork.decision import Brain
 from oakfork.interface import SECOND, State, Status
 
 START = 100 * SECOND
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -8,8 +8,8 @@
 import sys
 
 import pytest
-from labworlds import ROOT
-from standins import Discovery, told
+from fake_services import Discovery, told
+from lab_worlds import ROOT
 
 from oakfork import errors
 
--- a/tests/test_experiments.py
+++ b/tests/test_experiments.py
@@ -6,7 +6,7 @@
 import random
 
 import pytest
-from labworlds import ROOT, SMALL, told
+from lab_worlds import ROOT, SMALL, told
 
 from oakfork.lab import experiment as files
 from oakfork.lab.compare import compare
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -4,10 +4,10 @@
 from collections import Counter
 
 import pytest
-from world import World, arrival, birth, entry
+from gateway_network import World, arrival, birth, entry
 
 from oakfork import interface as face
-from oakfork.brain import Brain
+from oakfork.decision import Brain
 from oakfork.interface import SECOND, State, Status
 
 CORES = 3  # of a server here; the module is told of none
--- a/tests/test_fleet_file.py
+++ b/tests/test_fleet_config.py
@@ -7,13 +7,13 @@
 import msgspec
 import pytest
 from click.testing import CliRunner
-from labworlds import ROOT
-from standins import free_port
+from fake_services import free_port
+from lab_worlds import ROOT
 
 from oakfork import errors
-from oakfork.command import main
-from oakfork.fleet import codec, file as fleetfile
-from oakfork.fleet.post import Post
+from oakfork.cli import main
+from oakfork.fleet import codec, config as fleetfile
+from oakfork.fleet.transport import Post
 from oakfork.leases.messages import Ask, Hello
 from oakfork.sockets.configuration import address
 
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -9,7 +9,7 @@
 from contextlib import closing, suppress
 
 import pytest
-from standins import (
+from fake_services import (
     CUSTOMER,
     Discovery,
     StandIn,
@@ -28,7 +28,7 @@
 )
 
 from oakfork.sockets import configuration
-from oakfork.sockets.servers import REST
+from oakfork.sockets.server_connections import REST
 
 
 def test_an_rpc_passes_on_unchanged(world):
--- a/tests/test_leaving.py
+++ b/tests/test_graceful_shutdown.py
@@ -7,7 +7,7 @@
 import time
 
 import pytest
-from standins import CUSTOMER, connection, echo, headers, rpc
+from fake_services import CUSTOMER, connection, echo, headers, rpc
 
 
 def test_sigterm_answers_what_came_and_ends(world):
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -4,7 +4,7 @@
 import sys
 
 import pytest
-from labworlds import ROOT
+from lab_worlds import ROOT
 
 TESTS = "def test_red():\n    assert False\n\n\ndef test_green():\n    pass\n"
 RED, GREEN = "tests/test_it.py::test_red", "tests/test_it.py::test_green"
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -5,15 +5,15 @@
 from dataclasses import replace
 
 import pytest
-from labworlds import QUICK, told, world
+from lab_worlds import QUICK, told, world
 
 from oakfork import interface as face
-from oakfork.brain import Brain
+from oakfork.decision import Brain
 from oakfork.interface import SECOND, Repeat
 from oakfork.lab import experiment as files
-from oakfork.lab.clock import Kind, Loop
+from oakfork.lab.baseline_policies import POLICIES, Baseline
 from oakfork.lab.compare import interval
-from oakfork.lab.policies import POLICIES, Baseline
+from oakfork.lab.event_loop import Kind, Loop
 from oakfork.lab.sweep import play
 
 
@@ -204,7 +204,7 @@
 
 
 def _watched(one):
-    from oakfork.lab.checker import Watched
+    from oakfork.lab.invariant_checker import Watched
 
     return Watched(one.plan.methods[0], 5, one.plan.plans[0], 0, 0, 1000)
 
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -3,7 +3,7 @@
 import ast
 import tomllib
 
-from labworlds import ROOT
+from lab_worlds import ROOT
 
 LONGEST_FILE, LONGEST_POLICY_LINE = 400, 110
 SOURCES = sorted((ROOT / "oakfork").rglob("*.py"))
@@ -49,10 +49,10 @@
 
 def test_the_decision_module_is_what_the_deploy_file_names_and_imports_nothing_else():
     policy = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["policy"]
-    assert {ROOT / path for path in policy} == set((ROOT / "oakfork/brain").glob("*.py"))
+    assert {ROOT / path for path in policy} == set((ROOT / "oakfork/decision").glob("*.py"))
     lines = [line for path in policy for line in (ROOT / path).read_text().splitlines() if line.strip()]
     assert max(map(len, lines)) <= LONGEST_POLICY_LINE
-    allowed = {"oakfork", "oakfork.interface", "oakfork.peerwire"}
+    allowed = {"oakfork", "oakfork.interface", "oakfork.peer_codec"}
     for path in policy:
-        ours = {name for name in _imports(ROOT / path) if not name.startswith("oakfork.brain")}
+        ours = {name for name in _imports(ROOT / path) if not name.startswith("oakfork.decision")}
         assert ours <= allowed, f"{path} imports {ours - allowed}"
--- a/tests/test_lease_machines.py
+++ b/tests/test_lease_machines.py
@@ -6,7 +6,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
 from oakfork.leases import fence, holder, voter
-from oakfork.leases.lengths import Lengths
+from oakfork.leases.durations import Lengths
 from oakfork.leases.messages import Ask, Free, Grant, Refusal, Release
 
 LENGTHS = Lengths(lease=3_000, drift=100, act=500, longest=3_000)
--- a/tests/test_lease_model.py
+++ b/tests/test_lease_model.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from oakfork.lab.leasemodel import Fleet
+from oakfork.lab.lease_model import Fleet
 
 
 @pytest.mark.parametrize("loss", [0.0, 0.3])
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -1,7 +1,7 @@
 """Leases: every interleaving of a few, and broken variants of the rules, each of which has to be found out."""
 
 import pytest
-from leasesearch import ACT, Broken, Search
+from lease_search import ACT, Broken, Search
 
 from oakfork.leases import fence, holder, voter
 
--- a/tests/test_list_changes.py
+++ b/tests/test_list_changes.py
@@ -4,12 +4,12 @@
 import sys
 
 import pytest
-from world import birth, entry as listed
+from gateway_network import birth, entry as listed
 
-from oakfork import interface as face, peerwire as wire
-from oakfork.brain import Brain
-from oakfork.brain.desk import MASK
-from oakfork.brain.servers import Server, Servers
+from oakfork import interface as face, peer_codec as wire
+from oakfork.decision import Brain
+from oakfork.decision.context import MASK
+from oakfork.decision.servers import Server, Servers
 from oakfork.interface import SECOND, State, Status
 
 START = 100 * SECOND
--- a/tests/test_lists.py
+++ b/tests/test_lists.py
@@ -8,11 +8,11 @@
 import structlog
 import trio
 import trio.testing
-from standins import Discovery, echo, entry, rpc, settings, until
+from fake_services import Discovery, echo, entry, rpc, settings, until
 
 from oakfork.errors import Break
 from oakfork.sockets import discovery as watches
-from oakfork.sockets.endings import Ending
+from oakfork.sockets.outcomes import Ending
 
 
 def test_changes_of_the_list_are_followed(world):
--- a/tests/test_load.py
+++ b/tests/test_load_generator.py
@@ -2,10 +2,10 @@
 
 import pytest
 import trio
-from standins import settings
+from fake_services import settings
 
-from oakfork.lab.load import Generator, Load, LoadError, loopback
-from oakfork.lab.loopback import DiscoveryStandIn, ServerStandIn, SocketTier, Work, entry
+from oakfork.lab.fake_services import DiscoveryStandIn, ServerStandIn, SocketTier, Work, entry
+from oakfork.lab.load_generator import Generator, Load, LoadError, loopback
 
 
 def test_latency_counts_from_the_time_meant(tmp_path):
--- a/tests/test_module_machine.py
+++ b/tests/test_module_state_machine.py
@@ -1,6 +1,7 @@
 """The decision module under drawn settings and drawn acts, the five rules checked by the world after every step."""
 
 import pytest
+from gateway_network import PLANS, World, arrival, birth, entry
 from hypothesis import HealthCheck, settings, strategies as st
 from hypothesis.stateful import (
     RuleBasedStateMachine,
@@ -9,11 +10,10 @@
     precondition,
     rule,
 )
-from world import PLANS, World, arrival, birth, entry
 
 from oakfork import interface as face
-from oakfork.brain import Brain
-from oakfork.brain.desk import Desk
+from oakfork.decision import Brain
+from oakfork.decision.context import Desk
 from oakfork.interface import SECOND, Method, Repeat, State
 
 DEADLINES = st.sampled_from([(1_500, 4_500), (4_000, 9_000), (8_000, 30_000)])
--- a/tests/test_page_clients.py
+++ b/tests/test_page_clients.py
@@ -18,7 +18,7 @@
 import structlog
 import trio
 import trio.testing
-from standins import (
+from fake_services import (
     CUSTOMER,
     Discovery,
     StandIn,
@@ -37,7 +37,7 @@
 
 from oakfork.sockets import configuration, discovery as watches
 from oakfork.sockets.exchange import Answer
-from oakfork.sockets.heads import LARGEST_BODY
+from oakfork.sockets.http_connection import LARGEST_BODY
 from oakfork.sockets.messages import Came, Listed
 
 TERMS = {"X_Call_Terms": "units=1,spread=2,first=0", "tier": "basic"}
--- a/tests/test_page_lists.py
+++ b/tests/test_page_lists.py
@@ -13,17 +13,17 @@
 import structlog
 import trio
 import trio.testing
-from standins import CUSTOMER, entry, settings, surroundings
+from fake_services import CUSTOMER, entry, settings, surroundings
 
 from oakfork.errors import Break
-from oakfork.sockets import discovery as watches, gateway, servers as network
+from oakfork.sockets import discovery as watches, gateway, server_connections as network
+from oakfork.sockets.decision_loop import Keeper
 from oakfork.sockets.discovery import TOLD, Discovery
-from oakfork.sockets.endings import Ending
 from oakfork.sockets.exchange import Exchange
-from oakfork.sockets.heads import LARGEST_BODY, Message
-from oakfork.sockets.keeper import Keeper
+from oakfork.sockets.http_connection import LARGEST_BODY, Message
 from oakfork.sockets.messages import Came, tell
-from oakfork.sockets.servers import Servers
+from oakfork.sockets.outcomes import Ending
+from oakfork.sockets.server_connections import Servers
 
 ROWS = [entry(number, f"127.0.0.1:{1001 + number}") for number in range(4)]
 OLD, NEW = 9, 10  # ports of the agents
--- a/tests/test_page_tier.py
+++ b/tests/test_page_tier.py
@@ -4,15 +4,15 @@
 
 import pytest
 import trio
-from standins import entry, settings
+from fake_services import entry, settings
+from gateway_network import entry as listed
 from test_cold import Tier
 from test_page_lists import ROWS, Agent, Play, answer, drains
-from world import entry as listed
 
 from oakfork import interface as face
 from oakfork.errors import Break
 from oakfork.interface import SECOND, State
-from oakfork.sockets.endings import Ending
+from oakfork.sockets.outcomes import Ending
 
 SPELL, LEAST = 4.0, 15  # a gateway serves nobody: seconds on end, and requests of them all turned away
 
--- a/tests/test_links.py
+++ b/tests/test_peer_links.py
@@ -4,11 +4,11 @@
 import random
 
 import pytest
-from gateways import ended, frame_of, gateway, kinds, owned_by, told_of
-from world import METHODS, PLANS, arrival
+from decision_modules import ended, frame_of, gateway, kinds, owned_by, told_of
+from gateway_network import METHODS, PLANS, arrival
 
-from oakfork import interface as face, peerwire as wire
-from oakfork.brain import Brain
+from oakfork import interface as face, peer_codec as wire
+from oakfork.decision import Brain
 from oakfork.interface import SECOND, Status
 
 
--- a/tests/test_ports.py
+++ b/tests/test_port_allocator.py
@@ -7,15 +7,15 @@
 from contextlib import ExitStack
 
 import pytest
-from labworlds import ROOT
+from lab_worlds import ROOT
 
 from oakfork.errors import RigError
-from oakfork.lab.ports import BLOCK, Ports, free_places, text
+from oakfork.lab.port_allocator import BLOCK, Ports, free_places, text
 
 RANGE = 9_000, 9_000 + 4 * BLOCK  # of these tests alone: below the range that all others take from
 ASK = """
 import socket, sys
-from oakfork.lab.ports import free_places
+from oakfork.lab.port_allocator import free_places
 print(*(port for _, port in free_places(100, socket.SOCK_DGRAM)), flush=True)
 sys.stdin.read()
 """
--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -1,10 +1,10 @@
 """Owners, slices and ceilings, in plain cases."""
 
 import pytest
-from gateways import ended, frame_of, gateway, kinds, owned_by
-from world import METHODS, PLANS, World, arrival
+from decision_modules import ended, frame_of, gateway, kinds, owned_by
+from gateway_network import METHODS, PLANS, World, arrival
 
-from oakfork import interface as face, peerwire as wire
+from oakfork import interface as face, peer_codec as wire
 from oakfork.interface import SECOND
 
 
--- a/tests/test_readiness.py
+++ b/tests/test_readiness.py
@@ -4,7 +4,7 @@
 import subprocess
 import sys
 
-from labworlds import ROOT
+from lab_worlds import ROOT
 
 LATER = {
     "click",
@@ -29,9 +29,9 @@
     "oakfork.fleet",
     "oakfork.leases",
     "oakfork.contracts",
-    "oakfork.command",
-    "oakfork.format",
-    "oakfork.wirehost",
+    "oakfork.cli",
+    "oakfork.configuration_schema",
+    "oakfork.simulator_adapter",
 )
 MOST = 340  # 327 today, with the interpreter's own; each some tenths of a millisecond
 
@@ -51,6 +51,8 @@
 
 def test_signals_are_held_before_anything_large_is_loaded():
     before = set(loaded("pass"))
-    assert {name for name in set(loaded("from oakfork import early")) - before if "." in name} <= {"oakfork.early"}
+    assert {name for name in set(loaded("from oakfork import early")) - before if "." in name} <= {
+        "oakfork.early_signals"
+    }
     main = (ROOT / "oakfork/__main__.py").read_text()
     assert main.index("early.hold()") < main.index("from oakfork.serving")
--- a/tests/test_scale_added.py
+++ b/tests/test_scale_added_latency.py
@@ -10,32 +10,32 @@
 import trio
 from hypothesis import given, strategies as st
 
-from oakfork import peerwire as wire
-from oakfork.brain.quotas import Quotas
-from oakfork.lab.scale import added, addedtier, traced
-from oakfork.lab.scale.addedparties import KEPT, ChangingList, Parties, Served, listed
-from oakfork.lab.scale.addedtier import PROGRAM, TRACED, Row, Tier
+from oakfork import peer_codec as wire
+from oakfork.decision.quotas import Quotas
+from oakfork.lab.scale import added_latency, added_latency_gateways, traced_gateway
+from oakfork.lab.scale.added_latency_backends import KEPT, ChangingList, Parties, Served, listed
+from oakfork.lab.scale.added_latency_gateways import PROGRAM, TRACED, Row, Tier
 from oakfork.lab.scale.slopes import load, store
-from oakfork.lab.scale.traced import ASK, CALL_OUT, PARTS, QUEUE, WAY_BACK, Record, Trace
+from oakfork.lab.scale.traced_gateway import ASK, CALL_OUT, PARTS, QUEUE, WAY_BACK, Record, Trace
 from oakfork.sockets import configuration
 
 # All that traced.py wraps, by the name that the program gives it.
 WRAPPED = {
-    "oakfork.sockets.heads.Link.fill": "coroutine",
-    "oakfork.sockets.heads.Link.write": "coroutine",
-    "oakfork.sockets.heads.Link._push": "plain",
-    "oakfork.sockets.clients.Client._take": "plain",
+    "oakfork.sockets.http_connection.Link.fill": "coroutine",
+    "oakfork.sockets.http_connection.Link.write": "coroutine",
+    "oakfork.sockets.http_connection.Link._push": "plain",
+    "oakfork.sockets.client_connections.Client._take": "plain",
     "oakfork.sockets.exchange.Exchange.answer": "plain",
-    "oakfork.sockets.keeper.Keeper._take": "plain",
-    "oakfork.sockets.keeper.Keeper._send": "plain",
-    "oakfork.sockets.keeper.Keeper._finish": "plain",
-    "oakfork.sockets.keeper.Keeper._call_out": "coroutine",
-    "oakfork.sockets.servers.Servers.call": "coroutine",
-    "oakfork.sockets.servers.Servers._new": "coroutine",
+    "oakfork.sockets.decision_loop.Keeper._take": "plain",
+    "oakfork.sockets.decision_loop.Keeper._send": "plain",
+    "oakfork.sockets.decision_loop.Keeper._finish": "plain",
+    "oakfork.sockets.decision_loop.Keeper._call_out": "coroutine",
+    "oakfork.sockets.server_connections.Servers.call": "coroutine",
+    "oakfork.sockets.server_connections.Servers._new": "coroutine",
     "oakfork.sockets.peers.Peers.tell": "plain",
-    "oakfork.brain.quotas.Quotas.received": "plain",
-    "oakfork.brain.quotas.Quotas.admit": "generator",
-    "oakfork.brain.rpcs.Brain._look": "generator",
+    "oakfork.decision.quotas.Quotas.received": "plain",
+    "oakfork.decision.quotas.Quotas.admit": "generator",
+    "oakfork.decision.rpcs.Brain._look": "generator",
 }
 
 
@@ -62,7 +62,7 @@
 
 @given(STEPS)
 def test_the_parts_of_a_record_add_up_whatever_happens(steps):
-    record = Record("a", traced.perf_counter_ns())
+    record = Record("a", traced_gateway.perf_counter_ns())
     for step in (*steps, "end"):
         if step == "written":
             record.written()
@@ -79,12 +79,12 @@
 def test_the_time_of_an_rpc_is_that_of_its_call_out_while_one_is_out(monkeypatch):
     """A copy's look and start beside a call-out that is out take no time of the client's; the way back does."""
     ticks = iter(range(100, 10_000, 100))
-    monkeypatch.setattr(traced, "perf_counter_ns", lambda: next(ticks))
+    monkeypatch.setattr(traced_gateway, "perf_counter_ns", lambda: next(ticks))
     record = Record("a", 0)
     record.to(QUEUE)  # 100
     record.written()  # 200
-    record.to(traced.LOOK)
-    record.to(traced.START)
+    record.to(traced_gateway.LOOK)
+    record.to(traced_gateway.START)
     record.written()  # the copy
     record.over(False)  # one of them fails
     assert record.part == CALL_OUT
@@ -126,8 +126,8 @@
 
     trace, rpc = Trace(), SimpleNamespace(ask=SimpleNamespace(rpc=0), asking=7)
     quotas = SimpleNamespace(owner=lambda ask: (2, 3))
-    wrapped = trace._waits(traced.ADMISSION, traced.PACE)(admit)
-    record = Record("a", traced.perf_counter_ns())
+    wrapped = trace._waits(traced_gateway.ADMISSION, traced_gateway.PACE)(admit)
+    record = Record("a", traced_gateway.perf_counter_ns())
     for door in (None, SimpleNamespace(tickets=[SimpleNamespace(true_id=SimpleNamespace(record=record))])):
         log.clear()
         trace.door = door
@@ -144,8 +144,8 @@
 
 
 def test_an_ask_is_on_its_way_once_its_frame_leaves_and_its_owner_notes_what_it_took():
-    trace, record, left = Trace(), Record("a", traced.perf_counter_ns()), []
-    record.to(traced.PACE)
+    trace, record, left = Trace(), Record("a", traced_gateway.perf_counter_ns()), []
+    record.to(traced_gateway.PACE)
     trace.asked[2, 7] = record
     tell = trace._tell(lambda peers, peer, data: left.append(data))
     asks, other = (wire.pack(1, 1, 1, 1, [wire.pack_item(wire.Ask(serial, 5, 0, 1.0))]) for serial in (7, 8))
@@ -166,7 +166,7 @@
     trace, left = Trace(), []
     push = trace._push(lambda link, data: left.append(link.record.ended) or [])
     for waiting, status in ((True, 200), (False, None)):
-        exchange = SimpleNamespace(record=Record("a", traced.perf_counter_ns()))
+        exchange = SimpleNamespace(record=Record("a", traced_gateway.perf_counter_ns()))
         push(exchange, [b"x"])
         answer = trace._answer(lambda exchange, given, waiting=waiting: waiting and push(exchange, [b"x"]))
         answer(exchange, SimpleNamespace(status=200))
@@ -181,11 +181,11 @@
         client.exchange = exchange
 
     wrapped = trace._client_take(take)
-    for number in range(traced.MOST + 2):
+    for number in range(traced_gateway.MOST + 2):
         client = SimpleNamespace(exchange=None, link=SimpleNamespace(filled=1))
         wrapped(client, SimpleNamespace(id=b"%d" % number))
         clients.append(client)
-    assert len(trace.records) == traced.MOST and trace.missed == 2
+    assert len(trace.records) == traced_gateway.MOST and trace.missed == 2
     assert clients[0].exchange.record.part == QUEUE and clients[-1].exchange.record is None
     assert json.loads(list(trace.lines())[-1]) == {"missed": 2, "served": []}
 
@@ -211,11 +211,11 @@
 def test_a_client_s_time_is_taken_apart_by_what_servers_and_gateways_noted():
     row = Row("a", "127.0.0.1:1", 1_000_000, 9_000_000, "200")
     served = {"a": [Served("a", 1, 0, 500), Served("a", 2, 3_000_000, 5_000_000), Served("a", 3, 2_000_000, 8_000_000)]}
-    assert added._beside([row, row._replace(rpc="b")], served) == [6_000_000]  # the first answer in its time
+    assert added_latency._beside([row, row._replace(rpc="b")], served) == [6_000_000]  # the first answer in its time
     parts = [0] * len(PARTS)
     parts[ASK], parts[CALL_OUT] = 2_000_000, 4_000_000
     record = {"rpc": "a", "begun": 2_000_000, "ended": 8_000_000, "asks": 1, "replies": 1, "parts": parts}
-    told = added._parts([row], {"a": record})
+    told = added_latency._parts([row], {"a": record})
     assert {name: figures["p50_ms"] for name, figures in told.items() if figures["count"]} == {
         "way in": 1.0,
         "ask": 2.0,
@@ -223,17 +223,19 @@
         "way out": 1.0,
     }
     assert told["look"] == {"p50_ms": None, "p99_ms": None, "count": 0}
-    assert added._parts([row._replace(begun=3_000_000)], {"a": record})["way in"]["count"] == 0  # another exchange
+    assert (
+        added_latency._parts([row._replace(begun=3_000_000)], {"a": record})["way in"]["count"] == 0
+    )  # another exchange
     direct, through = {"p50_ms": 1.0, "p99_ms": 2.0}, {"p50_ms": 3.0, "p99_ms": 9.0}
-    assert added._added(direct, through, {"p50_ms": 3.5, "p99_ms": 9.0}) == {
+    assert added_latency._added(direct, through, {"p50_ms": 3.5, "p99_ms": 9.0}) == {
         "p50_ms": 2.0,
         "p99_ms": 8.0,
         "p99_over_p99_ms": 7.0,
         "tracing_p50_ms": 0.5,
         "tracing_p99_ms": 0.0,
     }
-    with pytest.raises(added.RigError, match="direct"):
-        added.client_of([], served, "direct")
+    with pytest.raises(added_latency.RigError, match="direct"):
+        added_latency.client_of([], served, "direct")
 
 
 # Real processes
@@ -295,7 +297,7 @@
 
 
 def test_tracing_leaves_answers_as_they_are_and_notes_each_rpc_whole(tmp_path, monkeypatch, processes):
-    def more(aim_ms, settings=addedtier.settings):
+    def more(aim_ms, settings=added_latency_gateways.settings):
         """A plan that is soon spent. No probes: where one is late at the start, whatever the machine's reason, the
         module sheds the RPC."""
         told = settings(aim_ms)
@@ -305,7 +307,7 @@
             "limits": told["limits"] | {"probing": False},
         }
 
-    monkeypatch.setattr(addedtier, "settings", more)
+    monkeypatch.setattr(added_latency_gateways, "settings", more)
     answers, records = {}, []
     with Parties(2, 0.0) as parties:
         for module in (PROGRAM, TRACED):
@@ -335,7 +337,7 @@
 
 def test_a_small_run_takes_the_time_apart_and_leaves_nothing_running(tmp_path, processes):
     lines = []
-    measures, more = added.measure(lines.append, small=True)
+    measures, more = added_latency.measure(lines.append, small=True)
     assert processes and all(process.poll() is not None for process in processes)
     assert [measure.name for measure in measures] == [
         f"added by servers, {mode} changes: milliseconds, {which}"
@@ -356,6 +358,6 @@
         seen = told["traced through"]["gateway saw"]["count"]
         assert seen == told["parts"]["way in"]["count"] == told["traced through"]["total"]["count"]  # all are traced
     assert list(more["by servers"]) == ["4"] and set(more["by servers"]["4"]) == {"with changes", "without changes"}
-    store(tmp_path, added.GROUP, measures, more)
+    store(tmp_path, added_latency.GROUP, measures, more)
     assert set(load(tmp_path)) == {measure.name for measure in measures}
     assert json.loads((tmp_path / "added.json").read_text())["quiet"]["parts"] == more["quiet"]["parts"]
--- a/tests/test_scale_frames.py
+++ b/tests/test_scale_frames.py
@@ -8,12 +8,12 @@
 import trio
 from jsonschema import Draft202012Validator
 
-from oakfork import peerwire as wire
-from oakfork.format import SERVER
-from oakfork.lab.loopback import DiscoveryStandIn
-from oakfork.lab.scale import frames, lists
+from oakfork import peer_codec as wire
+from oakfork.configuration_schema import SERVER
+from oakfork.lab.fake_services import DiscoveryStandIn
+from oakfork.lab.scale import peer_frames, server_lists
 from oakfork.sockets.configuration import address
-from oakfork.sockets.heads import LARGEST_BODY, Message
+from oakfork.sockets.http_connection import LARGEST_BODY, Message
 
 # What oakfork/lab/scale's page reads.
 STARTS = [
@@ -44,7 +44,7 @@
 @pytest.fixture(scope="module")
 def counted():
     told: list[str] = []
-    measures, held = frames.measure(told.append, small=True)
+    measures, held = peer_frames.measure(told.append, small=True)
     assert told == [measure.name for measure in measures]
     return {measure.name: measure for measure in measures}, held
 
@@ -54,7 +54,7 @@
 
 
 def test_a_second_count_of_frames_is_the_first_one(counted):
-    again, held = frames.measure(lambda line: None, small=True)
+    again, held = peer_frames.measure(lambda line: None, small=True)
     assert again == list(counted[0].values()) and held == counted[1]
     assert {*STARTS, *RESTS, *ASKS} <= counted[0].keys()
     assert held["rpcs"] == held["rpcs_ok"] > 0 == held["rpcs_not_sent_on"]
@@ -96,7 +96,7 @@
 def test_scripted_peers_make_a_gateway_say_what_modules_make_it_say(gateways):
     told = []
     for whole in (True, False):
-        network = frames.all_reply(gateways, whole)
+        network = peer_frames.all_reply(gateways, whole)
         if whole:
             others = [brain for index, brain in network.brains.items() if index]
             assert all(peer.life for brain in others for peer in brain.links.peers.values()), "not all had met"
@@ -109,7 +109,7 @@
 def test_an_ask_of_modules_costs_what_one_of_scripted_peers_does():
     told = []
     for whole in (True, False):
-        network = frames.all_reply(12, whole)
+        network = peer_frames.all_reply(12, whole)
         network.run(60)
         network.count_anew()
         customer = next(c for c in range(999) if network.brains[0].quotas.owner(network.arrival(c))[0])
@@ -117,12 +117,12 @@
         network.run(5)
         assert (network.ok, network.not_sent_on) == (1, 0)
         told.append((network.sent, network.received))
-    assert told[0] == told[1] == (frames.Traffic(1, ASK), frames.Traffic(1, ANSWER))
+    assert told[0] == told[1] == (peer_frames.Traffic(1, ASK), peer_frames.Traffic(1, ANSWER))
 
 
 def test_lists_have_the_form_of_discovery_and_each_server_an_id_of_its_own():
     example = ["id", "addr", "zone", "kind", "cell", "state", "weight", "started_ms"]  # PROTOCOL's
-    rows, changes = lists.rows(41_000, 1), lists.changes(300, 1)
+    rows, changes = server_lists.rows(41_000, 1), server_lists.changes(300, 1)
     assert len({row["id"] for row in rows}) == 41_000 and {row["state"] for row in rows} == {"up"}
     assert {row["state"] for row in changes} == {"up", "draining", "removed"}
     for row in rows[:300] + changes:
@@ -131,7 +131,7 @@
 
 
 def test_a_list_is_what_the_stand_in_answers():
-    rows = lists.rows(20, 1)
+    rows = server_lists.rows(20, 1)
 
     async def answered():
         with closing((stand_in := DiscoveryStandIn(rows)).sock):
@@ -141,16 +141,16 @@
             ]
             return [(await stand_in.answer(Message(call, b"")))[1] for call in calls]
 
-    assert trio.run(answered) == [lists.body(1, True, rows), lists.body(1, False, rows)]
-    compact = lists.body(1, True, rows, compact=True)
+    assert trio.run(answered) == [server_lists.body(1, True, rows), server_lists.body(1, False, rows)]
+    compact = server_lists.body(1, True, rows, compact=True)
     assert json.loads(compact)["servers"] == rows and b" " not in compact
 
 
 def test_lists_grow_with_their_servers_and_are_the_same_each_time():
     told: list[str] = []
-    measures, held = lists.measure(told.append, small=True)
+    measures, held = server_lists.measure(told.append, small=True)
     assert told == [measure.name for measure in measures] == LISTS
-    assert (measures, held) == lists.measure(lambda line: None, small=True)
+    assert (measures, held) == server_lists.measure(lambda line: None, small=True)
     assert all(measure.fit().slope > 0 for measure in measures)
     wide, compact = measures[:2]
     assert all(values(wide)[size] > values(compact)[size] for size in values(wide))
--- a/tests/test_scale_module.py
+++ b/tests/test_scale_module.py
@@ -6,9 +6,9 @@
 import pytest
 
 from oakfork import interface as face
-from oakfork.lab.scale import module, modulerig as rig, reference
-from oakfork.lab.scale.modulerig import Driven, Replay, Sizes
-from oakfork.lab.scale.reference import (
+from oakfork.lab.scale import module_costs, module_driver as rig, reference_cost
+from oakfork.lab.scale.module_driver import Driven, Replay, Sizes
+from oakfork.lab.scale.reference_cost import (
     beside_reference,
     operations,
     processor_seconds,
@@ -23,7 +23,7 @@
 @pytest.fixture(scope="module")
 def run():
     lines = []
-    measures, more = module.measure(lines.append, small=True)
+    measures, more = module_costs.measure(lines.append, small=True)
     return {measure.name: measure for measure in measures}, more, lines
 
 
@@ -125,8 +125,8 @@
 
 def test_two_measurements_give_the_same_operations():
     with rig.collected_as_served():
-        one, two = (module.costs(FEW, (*RPCS, *LISTS), small=True) for _ in range(2))
-        born = [module.birth_costs(FEW, True).operations for _ in range(2)]
+        one, two = (module_costs.costs(FEW, (*RPCS, *LISTS), small=True) for _ in range(2))
+        born = [module_costs.birth_costs(FEW, True).operations for _ in range(2)]
     counts = [{name: cost.operations for name, cost in found.items()} for found in (one, two)]
     assert counts[0] == counts[1]
     assert len(one) == 5 and all(cost.operations[0] > 0 for cost in one.values())
@@ -165,25 +165,25 @@
 def test_references_are_seconds_by_the_reference_loop(monkeypatch):
     """By a clock that a call moves by 6 s, and the loop by 1 s before it and by 3 s after it."""
     clock, loops = [0.0], iter((1.0, 3.0, 1.0, 3.0))
-    monkeypatch.setattr(reference, "process_time", lambda: clock[0])
-    monkeypatch.setattr(reference, "_loop", lambda: clock.append(clock.pop() + next(loops)))
+    monkeypatch.setattr(reference_cost, "process_time", lambda: clock[0])
+    monkeypatch.setattr(reference_cost, "_loop", lambda: clock.append(clock.pop() + next(loops)))
     assert beside_reference(lambda: clock.append(clock.pop() + 6.0), 2) == ([6.0, 6.0], [3.0, 3.0])
 
 
 def test_each_point_has_seconds_and_references(run):
     for unit in ("seconds", "references", "operations"):
         points = run[0][f"whole list by servers: {unit}"].points
-        assert [size for size, _ in points] == list(module.SMALL["servers"])
+        assert [size for size, _ in points] == list(module_costs.SMALL["servers"])
         assert all(len(values) == 1 and values[0] > 0 for _, values in points)
 
 
 def test_the_sizes_end_at_what_is_planned_and_plans_fit_their_byte():
-    assert [module.SIZES[by][-1] for by in ("servers", "peers", "customers")] == [41_000, 2700, 59_000]
-    assert max(module.SIZES["plans"]) < 256 and all(len(sizes) >= 4 for sizes in module.SIZES.values())
-    assert min(module.SMALL["servers"]) > 16, "a gateway keeps to sixteen of more servers only"
+    assert [module_costs.SIZES[by][-1] for by in ("servers", "peers", "customers")] == [41_000, 2700, 59_000]
+    assert max(module_costs.SIZES["plans"]) < 256 and all(len(sizes) >= 4 for sizes in module_costs.SIZES.values())
+    assert min(module_costs.SMALL["servers"]) > 16, "a gateway keeps to sixteen of more servers only"
 
 
 def test_memory_is_that_of_a_fresh_process():
     ballast = bytearray(64 << 20)  # of this process, which is not counted
-    few, many = module.memory(Sizes(servers=20)), module.memory(Sizes(servers=6000))
+    few, many = module_costs.memory(Sizes(servers=20)), module_costs.memory(Sizes(servers=6000))
     assert few < many and few < len(ballast)
