--- a/tests/test_scale_process.py
+++ b/tests/test_scale_process.py
@@ -7,9 +7,9 @@
 
 import pytest
 
+from oakfork.configuration_schema import faults_in
 from oakfork.errors import RigError
-from oakfork.format import faults_in
-from oakfork.lab.scale import process
+from oakfork.lab.scale import process_costs
 from oakfork.sockets import configuration
 
 NAMES = [
@@ -31,12 +31,12 @@
 def test_a_process_of_one_server_gets_ready_whatever_the_environment_says_and_is_gone_afterwards(tmp_path, monkeypatch):
     monkeypatch.setenv("LB_FLEET", str(tmp_path / "none.toml"))
     monkeypatch.setenv("LB_LISTEN", "not an address")
-    told = process.configuration(1, 3)
+    told = process_costs.configuration(1, 3)
     path = written(tmp_path, told)
-    with process.child(path) as child:
-        process.wait_ready(child, told["listen"], process.log_of(path))
-        now, most = process.memory(child.pid)
-        assert 0 < now <= most and process.processor_seconds(child.pid) >= 0
+    with process_costs.child(path) as child:
+        process_costs.wait_ready(child, told["listen"], process_costs.log_of(path))
+        now, most = process_costs.memory(child.pid)
+        assert 0 < now <= most and process_costs.processor_seconds(child.pid) >= 0
         os.kill(child.pid, 0)
     assert child.returncode is not None
     with pytest.raises(ProcessLookupError):
@@ -46,25 +46,25 @@
 
 
 def test_a_process_that_ends_is_told_with_its_log(tmp_path):
-    told = process.configuration(1, 3)
+    told = process_costs.configuration(1, 3)
     with closing(socket.socket()) as taken:
         taken.bind(configuration.address(told["listen"]))
         path = written(tmp_path, told)
-        with process.child(path) as child, pytest.raises(RigError, match="an address of its own can't be had"):
-            process.wait_ready(child, told["listen"], process.log_of(path))
+        with process_costs.child(path) as child, pytest.raises(RigError, match="an address of its own can't be had"):
+            process_costs.wait_ready(child, told["listen"], process_costs.log_of(path))
 
 
 def test_a_process_that_is_never_ready_is_given_up(tmp_path, monkeypatch):
-    monkeypatch.setattr(process, "READY", 0.0)
-    told = process.configuration(1, 3)
+    monkeypatch.setattr(process_costs, "READY", 0.0)
+    told = process_costs.configuration(1, 3)
     path = written(tmp_path, told)
-    with process.child(path) as child, pytest.raises(RigError, match="was not ready"):
-        process.wait_ready(child, told["listen"], process.log_of(path))
+    with process_costs.child(path) as child, pytest.raises(RigError, match="was not ready"):
+        process_costs.wait_ready(child, told["listen"], process_costs.log_of(path))
     assert child.returncode is not None
 
 
 def test_what_a_process_is_told_is_a_configuration_of_that_size_with_nobody_elsewhere(tmp_path):
-    told = process.configuration(1000, 300)
+    told = process_costs.configuration(1000, 300)
     assert not faults_in(told)
     here = configuration.read({"LB_CONFIG": str(written(tmp_path, told))})
     assert len(here.peers) == len(set(here.peers)) == here.birth.gateways == 300 and here.peers[0] == here.peer_listen
@@ -76,7 +76,7 @@
 @pytest.mark.timeout(120)
 def test_memory_grows_with_servers_and_with_gateways():
     told: list[str] = []
-    measures, held = process.measure(told.append, small=True)
+    measures, held = process_costs.measure(told.append, small=True)
     assert told == [measure.name for measure in measures] == NAMES
     for measure in measures:
         assert all(value > 0 for _, values in measure.points for value in values)
--- a/tests/test_servers.py
+++ b/tests/test_servers.py
@@ -3,12 +3,12 @@
 import random
 from collections import deque
 
-from gateways import asked, cold, ended, forty, gateway, kinds
-from world import METHODS, arrival, birth, entry
+from decision_modules import asked, cold, ended, forty, gateway, kinds
+from gateway_network import METHODS, arrival, birth, entry
 
 from oakfork import interface as face
-from oakfork.brain import Brain
-from oakfork.door import Door
+from oakfork.decision import Brain
+from oakfork.index_table import Door
 from oakfork.interface import SECOND, State, Status
 
 
--- a/tests/test_signals.py
+++ b/tests/test_signals.py
@@ -10,8 +10,8 @@
 from contextlib import contextmanager
 
 import pytest
-from labworlds import ROOT
-from standins import CUSTOMER, Discovery, connection, echo, headers, rpc, until
+from fake_services import CUSTOMER, Discovery, connection, echo, headers, rpc, until
+from lab_worlds import ROOT
 
 RUN = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["run"].replace(".venv/bin/python", sys.executable)
 
--- a/tests/test_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -7,8 +7,8 @@
 import pytest
 
 from oakfork import interface as face
-from oakfork.wirehost import codec
-from oakfork.wirehost.host import Host, serve
+from oakfork.simulator_adapter import codec
+from oakfork.simulator_adapter.host import Host, serve
 
 INFO = json.dumps(
     {
@@ -146,13 +146,15 @@
     ],
 )
 def test_bad_input_ends_with_one_plain_line(data, told):
-    ended = subprocess.run([sys.executable, "-m", "oakfork.wirehost"], input=data, capture_output=True, timeout=30)
+    ended = subprocess.run(
+        [sys.executable, "-m", "oakfork.simulator_adapter"], input=data, capture_output=True, timeout=30
+    )
     line = ended.stderr.decode()
     assert ended.returncode != 0 and line.count("\n") == 1 and line.startswith("wirehost: ") and told in line
 
 
 def test_the_end_of_input_between_frames_is_no_error():
-    command = [sys.executable, "-m", "oakfork.wirehost"]
+    command = [sys.executable, "-m", "oakfork.simulator_adapter"]
     ended = subprocess.run(command, input=batch(1.0), capture_output=True, timeout=30)
     assert (ended.returncode, ended.stdout, ended.stderr) == (0, bytes(4), b"")
 
