--- a/experiments/same_commands.py
+++ b/experiments/same_commands.py
@@ -9,7 +9,7 @@
 import hashlib
 import sys
 
-from oakfork.decision import Brain
+from oakfork.decision import DecisionModule
 from oakfork.lab.experiment import read
 from oakfork.lab.world import World
 
@@ -22,11 +22,11 @@
     digest = hashlib.sha256()
     events = commands = 0
 
-    def __init__(self, birth, now):
-        self.brain = Brain(birth, now)
+    def __init__(self, settings, now):
+        self.module = DecisionModule(settings, now)
 
     def handle(self, now, event):
-        commands = self.brain.handle(now, event)
+        commands = self.module.handle(now, event)
         # What an older revision's events did not have yet is left out where it says nothing.
         Recorded.digest.update(repr((now, event, commands)).replace(", reserved=False", "").encode())
         Recorded.events += 1
--- a/oakfork/__main__.py
+++ b/oakfork/__main__.py
@@ -10,7 +10,7 @@
     else:
         from oakfork import early_signals
 
-        early_signals.hold()
+        early_signals.install_handlers()
         from oakfork.serving import serve
 
         serve()
--- a/oakfork/cli.py
+++ b/oakfork/cli.py
@@ -17,16 +17,16 @@
 
 from oakfork import __version__
 from oakfork.errors import (
-    MISTAKE,
-    WRONG,
-    BookError,
+    EXIT_FAILURE,
+    EXIT_USAGE,
     ConfigurationError,
+    ContractsFileError,
+    DrillProcessError,
     ExperimentError,
     FleetError,
-    LoadError,
+    LoadSettingsError,
     OakforkError,
-    RigError,
-    lines,
+    error_lines,
 )
 
 
@@ -56,21 +56,21 @@
         except click.ClickException as error:
             _fail(error.format_message())
         except click.Abort:
-            _fail("interrupted", WRONG)
+            _fail("interrupted", EXIT_FAILURE)
         except BrokenPipeError:
             sys.stderr.close()
-            sys.exit(WRONG)
+            sys.exit(EXIT_FAILURE)
         sys.exit(status if isinstance(status, int) else 0)
 
 
-def _fail(text: str, status: int = MISTAKE) -> None:
+def _fail(text: str, status: int = EXIT_USAGE) -> None:
     for line in text.splitlines() or [""]:
         click.echo(f"oakfork: {line}", err=True)
     sys.exit(status)
 
 
 def _refuse(error: OakforkError, where: str = "", faults: list[str] | None = None) -> None:
-    _fail(lines(error, where, faults), error.status)
+    _fail(error_lines(error, where, faults), error.status)
 
 
 @click.group(
@@ -126,7 +126,7 @@
             click.echo(f"{config}: {fault}", err=True)
         if not faults:
             click.echo(f"{config}: usable")
-    return MISTAKE if faults else 0
+    return EXIT_USAGE if faults else 0
 
 
 @main.group()
@@ -167,7 +167,7 @@
 
     try:
         book = read(file)
-    except BookError as error:
+    except ContractsFileError as error:
         _refuse(error, file)
     click.echo(
         f"{file}: usable, {len(book.contracts)} contracts, {len(book.sites)} sites, " f"{book.capacity:g} legs a second"
@@ -229,7 +229,7 @@
     if not as_json:
         for line in result["lines"]:
             click.echo("  " + line)
-    return WRONG if result["broken"] else 0
+    return EXIT_FAILURE if result["broken"] else 0
 
 
 @lab.command("sweep")
@@ -250,9 +250,9 @@
     try:
         failed = Sweep(experiment, Path(folder), workers).run(told)
     except OSError as error:
-        _fail(f"{folder}: {error}", WRONG)
+        _fail(f"{folder}: {error}", EXIT_FAILURE)
     click.echo(f"{len(experiment.runs)} runs, {failed} failed, in {folder}")
-    return WRONG if failed else 0
+    return EXIT_FAILURE if failed else 0
 
 
 @lab.command("compare")
@@ -319,14 +319,14 @@
     for seed in seeds:
         try:
             drill = lease_drill(seed, keep=Path(keep) if keep else None, **told)
-        except RigError as error:
+        except DrillProcessError as error:
             _refuse(error)
         click.echo(
             f"seed {seed}: {len(drill.done)} troubles, {drill.acts} acts in {drill.terms} terms, "
             f"{sum(drill.refused.values())} refused; " + ("; ".join(drill.faults) or "no overlap, terms grow")
         )
         broken += bool(drill.faults)
-    return WRONG if broken else 0
+    return EXIT_FAILURE if broken else 0
 
 
 @lab_drill.command("contracts")
@@ -349,7 +349,7 @@
 
     try:
         drill = contract_drill(**told)
-    except RigError as error:
+    except DrillProcessError as error:
         _refuse(error)
     click.echo(
         f"{drill.kind}, {drill.policy}: the tenant has {RESERVED:g} legs a second reserved, asked for "
@@ -376,10 +376,10 @@
 
     try:
         report = run(Load(gateways=gateways, **told))
-    except LoadError as error:
+    except LoadSettingsError as error:
         _refuse(error)
     click.echo(json.dumps(dataclasses.asdict(report)) if as_json else report.text())
-    return WRONG if report.answers.get("none") else 0
+    return EXIT_FAILURE if report.answers.get("none") else 0
 
 
 if __name__ == "__main__":
--- a/oakfork/contracts/contracts_file.py
+++ b/oakfork/contracts/contracts_file.py
@@ -10,7 +10,7 @@
 from typing import Any, Iterator, Sequence
 
 from oakfork.configuration_schema import against, read_toml
-from oakfork.errors import BookError
+from oakfork.errors import ContractsFileError
 
 LARGEST_FILE = 1024 * 1024
 MOST_SITES = 10  # all unions of sites are looked at
@@ -158,13 +158,13 @@
 
 
 def read(path: str | Path) -> Book:
-    """Reads and checks; raises BookError with every fault."""
-    return checked(read_toml(path, LARGEST_FILE, BookError)[0])
+    """Reads and checks; raises ContractsFileError with every fault."""
+    return checked(read_toml(path, LARGEST_FILE, ContractsFileError)[0])
 
 
 def checked(told: dict[str, Any]) -> Book:
     if faults := against(SCHEMA, told):
-        raise BookError(faults)
+        raise ContractsFileError(faults)
     faults = []
     homes = [site["name"] for site in told["site"] if site.get("home")]
     faults += [f"site: {' and '.join(homes)} are both home"] if len(homes) > 1 else []
@@ -183,7 +183,7 @@
             if owners.setdefault(customer, contract.tenant) != contract.tenant:
                 faults.append(f"contract[{number}].customers: {customer:016x} is also of {owners[customer]!r}")
     if faults := faults or list(_overbooked(book)):
-        raise BookError(faults)
+        raise ContractsFileError(faults)
     return book
 
 
@@ -201,9 +201,9 @@
                 for at in (begins, ends)
             )
             if begins >= ends:
-                raise BookError([f"{place}.until: not after from"])
+                raise ContractsFileError([f"{place}.until: not after from"])
             if ("daily_from" in window) != ("daily_until" in window):
-                raise BookError([f"{place}: daily_from and daily_until go together"])
+                raise ContractsFileError([f"{place}: daily_from and daily_until go together"])
             daily = (
                 tuple(time.fromisoformat(window[key]) for key in ("daily_from", "daily_until"))
                 if "daily_from" in window
@@ -212,7 +212,7 @@
             windows.append(Window(begins, ends, daily))
         except ValueError as error:
             faults.append(f"{place}: {error}")
-        except BookError as error:
+        except ContractsFileError as error:
             faults += error.faults
     customers = frozenset(int(text, 16) for text in row["customers"])
     return Contract(
@@ -221,7 +221,7 @@
 
 
 def _refused(text: str) -> datetime:
-    raise BookError([text])
+    raise ContractsFileError([text])
 
 
 def _instants(contracts: Sequence[Contract]) -> Iterator[datetime]:
--- a/oakfork/contracts/runner.py
+++ b/oakfork/contracts/runner.py
@@ -14,7 +14,7 @@
 from oakfork.contracts.admission import Gate, Tenant, Verdict, fitting
 from oakfork.contracts.contracts_file import Book, Contract, read
 from oakfork.contracts.messages import Borrow, Dealt, Demand, Lent
-from oakfork.errors import BookError, told
+from oakfork.errors import ContractsFileError, log_fields
 from oakfork.fleet.config import FleetFile
 from oakfork.fleet.transport import Post, clock
 from oakfork.leases.durations import Lengths
@@ -86,8 +86,8 @@
         """On SIGHUP. A book that is not usable changes nothing."""
         try:
             self.take(read(self.path))
-        except BookError as error:
-            self.log.error("the new book is not usable, the old one holds", **told(error))
+        except ContractsFileError as error:
+            self.log.error("the new book is not usable, the old one holds", **log_fields(error))
         else:
             self.log.info("book read anew", contracts=len(self.book.contracts))
 
@@ -164,7 +164,7 @@
                 self.heard.clear()
                 continue
             since = clock() - round(KEPT * DEAL_EVERY * 10_000)
-            self.heard = {gateway: told for gateway, told in self.heard.items() if told[0] > since}
+            self.heard = {gateway: log_fields for gateway, log_fields in self.heard.items() if log_fields[0] > since}
             rates = self.rates()
             deals: list[list[Any]] = [[] for _ in range(self.gateways)]
             for key, rate in rates.items():
--- a/oakfork/control/change_schema.py
+++ b/oakfork/control/change_schema.py
@@ -11,7 +11,7 @@
 from oakfork.control import records
 from oakfork.control.messages import LARGEST_FRAME, LONGEST_NAME, Kind, Row
 from oakfork.control.state import Records
-from oakfork.errors import ChangeError
+from oakfork.errors import ChangeSetError
 
 LARGEST_CHANGE = 1 << 20  # bytes of the file
 LARGEST_SUBMITTED = LARGEST_FRAME - 1024  # of what is sent for it, by zlib
@@ -164,10 +164,10 @@
     """A change file as it goes to the publisher, by zlib where that is shorter; raises ChangeError where it is too long
     all the same."""
     if len(data) > LARGEST_CHANGE:
-        raise ChangeError([f"the file: over {LARGEST_CHANGE} bytes"])
+        raise ChangeSetError([f"the file: over {LARGEST_CHANGE} bytes"])
     shorter = min(zlib.compress(data), data, key=len)
     if len(shorter) > LARGEST_SUBMITTED:
-        raise ChangeError([f"the file: over {LARGEST_SUBMITTED} bytes by zlib"])
+        raise ChangeSetError([f"the file: over {LARGEST_SUBMITTED} bytes by zlib"])
     return shorter
 
 
@@ -191,7 +191,7 @@
         return None, [f"the file: over {LARGEST_CHANGE} bytes"]
     try:
         told = json.loads(data, object_pairs_hook=_once)
-    except ChangeError as error:
+    except ChangeSetError as error:
         return None, _bounded(error.faults)
     except (ValueError, RecursionError) as error:
         return None, _bounded([f"the file: {error}"])
@@ -205,7 +205,7 @@
     told = dict(pairs)
     if len(told) < len(pairs):
         twice = next(key for key, times in Counter(key for key, _ in pairs).items() if times > 1)
-        raise ChangeError([f"the file: {twice!r} stands twice in one table"])
+        raise ChangeSetError([f"the file: {twice!r} stands twice in one table"])
     return told
 
 
--- a/oakfork/control/cli.py
+++ b/oakfork/control/cli.py
@@ -12,7 +12,7 @@
 
 import click
 
-from oakfork.errors import MISTAKE, WRONG, ChangeError, ControlError, OakforkError, lines
+from oakfork.errors import EXIT_FAILURE, EXIT_USAGE, ChangeSetError, ControlConfigError, OakforkError, error_lines
 
 if TYPE_CHECKING:
     from structlog.stdlib import BoundLogger
@@ -20,14 +20,14 @@
 PLACE = r"HOST:PORT"
 
 
-def _fail(text: str, status: int = MISTAKE) -> None:
+def _fail(text: str, status: int = EXIT_USAGE) -> None:
     for line in text.splitlines():
         click.echo(f"oakfork: {line}", err=True)
     sys.exit(status)
 
 
 def _refuse(error: OakforkError, where: str = "") -> None:
-    _fail(lines(error, where), error.status)
+    _fail(error_lines(error, where), error.status)
 
 
 def _place(_: click.Context, __: click.Parameter, told: Any) -> Any:
@@ -67,7 +67,7 @@
     except OakforkError as error:
         _refuse(error, where)
     except KeyboardInterrupt:
-        _fail("interrupted", WRONG)
+        _fail("interrupted", EXIT_FAILURE)
 
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
@@ -85,7 +85,7 @@
 
     try:
         told = files.read_publisher(file)
-    except ControlError as error:
+    except ControlConfigError as error:
         _refuse(error, file)
     _run(processes.publisher(told, _log(told.who)))
 
@@ -98,7 +98,7 @@
 
     try:
         told = files.read_relay(file)
-    except ControlError as error:
+    except ControlConfigError as error:
         _refuse(error, file)
     _run(processes.relay(told, _log(told.who)))
 
@@ -132,14 +132,14 @@
         with open(file, "rb") as opened:
             data = opened.read(change_schema.LARGEST_CHANGE + 1)
     except OSError as error:
-        _refuse(ChangeError([f"the file: {error}"]), file)
+        _refuse(ChangeSetError([f"the file: {error}"]), file)
     id = change_schema.id_of(data)
     faults = change_schema.parse(data)[1] if id is None else []
     if faults:
-        _refuse(ChangeError(faults), file)
+        _refuse(ChangeSetError(faults), file)
     verdict = _run(client.publish(place, id, data, seconds), file)
     if verdict.position is None:
-        _refuse(ChangeError(list(verdict.faults) or ["refused"]), file)
+        _refuse(ChangeSetError(list(verdict.faults) or ["refused"]), file)
     click.echo(f"{file}: in force at the publisher, position {verdict.position.term}.{verdict.position.number}")
 
 
--- a/oakfork/control/client.py
+++ b/oakfork/control/client.py
@@ -9,7 +9,7 @@
 from oakfork.control.change_schema import submitted
 from oakfork.control.connections import Link, connect
 from oakfork.control.messages import Ask, Goodbye, Message, Status, Submit, Verdict, pack, unpack_down
-from oakfork.errors import Break, PublisherSilent
+from oakfork.errors import ConnectionFailedError, PublisherTimeoutError
 from oakfork.sockets.outcomes import Ending
 
 ANSWER = 10.0  # seconds for one answer
@@ -35,7 +35,7 @@
         await link.run(take)
     if found and isinstance(found[0], kind):
         return found[0]
-    raise Break(
+    raise ConnectionFailedError(
         Ending.SILENT
         if scope.cancelled_caught
         else Ending.MALFORMED
@@ -52,16 +52,16 @@
         while True:
             try:
                 return await exchange(place, asked, kind)
-            except Break as end:
+            except ConnectionFailedError as end:
                 last = end.ending.name
             await trio.sleep(pause)
             pause = min(2 * pause, LONGEST_PAUSE)
-    raise PublisherSilent(f"{place}: {last}")
+    raise PublisherTimeoutError(f"{place}: {last}")
 
 
 async def publish(place: str, id: str, change: bytes, patience: float = PATIENCE) -> Verdict:
-    """Submits a change set until there is a verdict on it; the same one has no second effect. Raises PublisherSilent
-    where there is none after `patience` seconds, ChangeError where it is too long."""
+    """Submits a change set until there is a verdict on it; the same one has no second effect. Raises
+    PublisherTimeoutError where there is none after `patience` seconds, ChangeError where it is too long."""
     return await _patiently(place, Submit(submitted_id(id, change), submitted(change)), Verdict, patience)
 
 
@@ -71,12 +71,12 @@
 
 
 async def status(place: str, patience: float = ANSWER) -> dict[str, Any]:
-    """The publisher's status, as docs/control.md has it. Raises PublisherSilent."""
+    """The publisher's status, as docs/control.md has it. Raises PublisherTimeoutError."""
     told = await _patiently(place, Ask(), Status, patience)
     try:
         found = json.loads(told.told)
     except (ValueError, RecursionError):
-        raise PublisherSilent(f"{place}: told something that is no status") from None
+        raise PublisherTimeoutError(f"{place}: told something that is no status") from None
     if not isinstance(found, dict):
-        raise PublisherSilent(f"{place}: told something that is no status")
+        raise PublisherTimeoutError(f"{place}: told something that is no status")
     return found
--- a/oakfork/control/config.py
+++ b/oakfork/control/config.py
@@ -9,7 +9,7 @@
 from oakfork.configuration_schema import ADDRESS, against, read_toml
 from oakfork.control.database import MOST_IDS, MOST_LOG
 from oakfork.control.follower_server import EGRESS, LINKS
-from oakfork.errors import ControlError
+from oakfork.errors import ControlConfigError
 from oakfork.sockets.configuration import Address, address
 
 LARGEST_FILE = 64 * 1024
@@ -159,7 +159,7 @@
 
 
 def _checked(schema: dict[str, Any], path: str | Path) -> dict[str, Any]:
-    told = read_toml(path, LARGEST_FILE, ControlError)[0]
+    told = read_toml(path, LARGEST_FILE, ControlConfigError)[0]
     faults = against(schema, told)
     if not faults:
         places = {"listen": told["listen"]} | {
@@ -169,5 +169,5 @@
         if told["listen"] in told.get("upstreams", ()):
             faults.append("upstreams: it would follow itself")
     if faults:
-        raise ControlError(faults)
+        raise ControlConfigError(faults)
     return told
--- a/oakfork/control/connections.py
+++ b/oakfork/control/connections.py
@@ -12,7 +12,7 @@
 
 from oakfork.control.framing import HEAD, ZIPPED, framed, unzipped
 from oakfork.control.messages import LARGEST_FRAME
-from oakfork.errors import AddressTaken, Break
+from oakfork.errors import AddressInUseError, ConnectionFailedError
 from oakfork.sockets.configuration import Address, address
 from oakfork.sockets.http_connection import bound
 from oakfork.sockets.outcomes import Ending
@@ -158,17 +158,17 @@
         with trio.fail_after(PATIENCE):
             return await trio.open_tcp_stream(host, port)
     except trio.TooSlowError:
-        raise Break(Ending.NEVER_UP) from None
+        raise ConnectionFailedError(Ending.NEVER_UP) from None
     except OSError:
-        raise Break(Ending.REFUSED) from None
+        raise ConnectionFailedError(Ending.REFUSED) from None
 
 
 def listen(place: Address) -> trio.SocketListener:
-    """Raises AddressTaken."""
+    """Raises AddressInUseError."""
     sock = bound(socket.SOCK_STREAM, place)
     try:
         sock.listen(512)
     except OSError as error:
         sock.close()
-        raise AddressTaken(f"{place[0]}:{place[1]}: {error}") from error
+        raise AddressInUseError(f"{place[0]}:{place[1]}: {error}") from error
     return trio.SocketListener(trio.socket.from_stdlib_socket(sock))
--- a/oakfork/control/engine.py
+++ b/oakfork/control/engine.py
@@ -16,7 +16,7 @@
 from oakfork.control.connections import Link, connect
 from oakfork.control.database import Database
 from oakfork.control.messages import Position, unpack_down, unpack_up
-from oakfork.errors import Break, DatabaseError, told
+from oakfork.errors import ConnectionFailedError, DatabaseError, log_fields
 
 QUEUE = 256  # events that wait
 SPARE = 64  # connections
@@ -153,7 +153,7 @@
         with scope:
             try:
                 stream = await connect(place)
-            except Break as end:
+            except ConnectionFailedError as end:
                 self.note(f"not connected: {end.ending.name}", place)
         self.scopes.pop(number, None)
         if number not in self.links:  # closed meanwhile
@@ -225,7 +225,7 @@
                 async with self.disk:
                     return await trio.to_thread.run_sync(act, *told_of)
             except DatabaseError as error:
-                self.log.error(f"a change set could not be {what}", **told(error))
+                self.log.error(f"a change set could not be {what}", **log_fields(error))
                 reason = str(error)[:200]
                 await trio.sleep(pause)
         return reason
@@ -239,7 +239,7 @@
                     async with self.disk:
                         more = await trio.to_thread.run_sync(self.database.fold)
             except DatabaseError as error:
-                self.log.error("the log could not be folded", **told(error))
+                self.log.error("the log could not be folded", **log_fields(error))
 
 
 async def serve(engine: Engine, listener: trio.SocketListener | None, log: BoundLogger) -> None:
--- a/oakfork/control/processes.py
+++ b/oakfork/control/processes.py
@@ -90,7 +90,7 @@
 
 
 async def publisher(file: PublisherFile, log: BoundLogger) -> None:
-    """Raises AddressTaken and DatabaseError."""
+    """Raises AddressInUseError and DatabaseError."""
     listener = listen(file.listen)
     database = await trio.to_thread.run_sync(Database, file.database, file.log_sets, file.ids)
     try:
@@ -101,7 +101,7 @@
 
 
 async def relay(file: RelayFile, log: BoundLogger) -> None:
-    """Raises AddressTaken."""
+    """Raises AddressInUseError."""
     await serve(relay_engine(file, log), listen(file.listen), log)
 
 
--- a/oakfork/control/trial.py
+++ b/oakfork/control/trial.py
@@ -14,7 +14,7 @@
 import trio
 
 from oakfork.control import client, status_text
-from oakfork.errors import PublisherSilent, RigError
+from oakfork.errors import DrillProcessError, PublisherTimeoutError
 
 START, SPREAD, END = 15.0, 20.0, 5.0  # seconds to start one, to be in force everywhere, to end
 FOLLOWERS = 3
@@ -68,7 +68,7 @@
             )
 
     def listens(self, name: str) -> str:
-        """Where it does, once its log says so; raises RigError."""
+        """Where it does, once its log says so; raises DrillProcessError."""
         end = time.monotonic() + START
         while time.monotonic() < end and self.all[name].poll() is None:
             for line in (self.folder / f"{name}.log").read_text().splitlines():
@@ -79,7 +79,7 @@
                 if isinstance(told, dict) and told.get("event") == "serving":
                     return told["listen"]
             time.sleep(0.02)
-        raise RigError(f"{name} does not serve: {self.last(name)}")
+        raise DrillProcessError(f"{name} does not serve: {self.last(name)}")
 
     def last(self, name: str) -> str:
         return " | ".join((self.folder / f"{name}.log").read_text().splitlines()[-3:])
@@ -120,7 +120,7 @@
 
 
 def everywhere(publisher: str, done: Callable[[dict[str, Any]], bool]) -> dict[str, Any]:
-    """The status, as soon as it is as wanted; raises RigError."""
+    """The status, as soon as it is as wanted; raises DrillProcessError."""
 
     async def ask() -> dict[str, Any]:
         told: dict[str, Any] = {}
@@ -128,16 +128,16 @@
             while not (told := await client.status(publisher)) or not done(told):
                 await trio.sleep(0.1)
             return told
-        raise RigError(f"not in force everywhere after {SPREAD:g} s: {json.dumps(told)[:2000]}")
+        raise DrillProcessError(f"not in force everywhere after {SPREAD:g} s: {json.dumps(told)[:2000]}")
 
     try:
         return trio.run(ask)
-    except PublisherSilent as error:
-        raise RigError(f"no status: {error}") from None
+    except PublisherTimeoutError as error:
+        raise DrillProcessError(f"no status: {error}") from None
 
 
 def run(keep: Path | None, say: Callable[[str], None]) -> None:
-    """Raises RigError, or what the publisher's answers mean."""
+    """Raises DrillProcessError, or what the publisher's answers mean."""
     with ExitStack() as stack:
         folder = keep or Path(stack.enter_context(tempfile.TemporaryDirectory(prefix="oakfork-control-")))
         folder.mkdir(parents=True, exist_ok=True)
@@ -149,6 +149,6 @@
         (folder / "change.json").write_bytes(change)
         verdict = trio.run(client.publish, publisher, EXAMPLE["id"], change)
         if verdict.position is None:
-            raise RigError("the example was refused: " + "; ".join(verdict.faults))
+            raise DrillProcessError("the example was refused: " + "; ".join(verdict.faults))
         say(f"published: position {verdict.position.term}.{verdict.position.number}")
         say(status_text.text(everywhere(publisher, lambda told: status_text.whole(told, verdict.position, FOLLOWERS))))
--- a/oakfork/decision/context.py
+++ b/oakfork/decision/context.py
@@ -5,29 +5,29 @@
 from dataclasses import dataclass, field
 from typing import Callable, Generator, NamedTuple
 
-from oakfork import interface as face
+from oakfork import interface
 
 MASK = (1 << 64) - 1
 
 
-class Desk:
-    def __init__(self, birth: face.Birth, now: int) -> None:
-        self.now, self.born, self.chance, self.commands = now, now, birth.seed & MASK, []
+class DecisionContext:
+    def __init__(self, settings: interface.GatewaySettings, now: int) -> None:
+        self.now, self.born, self.chance, self.commands = now, now, settings.seed & MASK, []
         self.alarms: list[tuple[int, int, Callable, tuple]] = []  # emptied as they come
         self.order, self.woken, self.lag = itertools.count(), None, 0.0  # lag: how late its timers come
 
-    def begin(self, now: int, event: face.Event) -> None:
+    def begin(self, now: int, event: interface.Event) -> None:
         self.now, self.commands = now, []
-        if isinstance(event, face.TimeCame) and self.woken is not None and now >= self.woken:
+        if isinstance(event, interface.TimerFired) and self.woken is not None and now >= self.woken:
             self.lag, self.woken = self.lag + (now - self.woken - self.lag) * 0.2, None  # over five timers
 
-    def finish(self) -> list[face.Command]:
+    def finish(self) -> list[interface.Command]:
         while self.alarms and self.alarms[0][0] <= self.now:
             _, _, act, args = heapq.heappop(self.alarms)
             act(*args)
         if self.alarms and (self.woken is None or self.alarms[0][0] < self.woken):
             self.woken = self.alarms[0][0]
-            self.commands.append(face.Wake(0, self.woken - self.now))
+            self.commands.append(interface.SetTimer(0, self.woken - self.now))
         return self.commands
 
     def at(self, time: int, act: Callable, *args) -> None:
@@ -54,7 +54,7 @@
 
 @dataclass(slots=True)
 class MethodRow:  # and the latencies learnt of the method
-    method: face.Method
+    method: interface.Method
     late: int  # two fifths of the soft deadline: an answer of usual length is in time after that
     mean: float  # usual latency
     pressure: float = 1.0  # usual at the servers chosen, as probes tell it
@@ -62,7 +62,7 @@
 
 @dataclass(slots=True)
 class Rpc:  # while it is unanswered or has call-outs out
-    ask: face.Arrival
+    ask: interface.RpcArrived
     row: MethodRow
     dl: int  # deadline, on the clock
     run: Generator | None = None
--- a/oakfork/decision/peer_links.py
+++ b/oakfork/decision/peer_links.py
@@ -4,8 +4,8 @@
 from dataclasses import dataclass, field
 from typing import Callable
 
-from oakfork import interface as face, peer_codec as wire
-from oakfork.decision.context import Desk, Rpc
+from oakfork import interface, peer_codec as wire
+from oakfork.decision.context import DecisionContext, Rpc
 from oakfork.interface import SECOND
 
 
@@ -24,43 +24,56 @@
     asks: dict[int, tuple[Rpc, int]] = field(default_factory=dict)  # emptied by answers, or after 4 s
 
 
-class Links:
-    def __init__(self, birth: face.Birth, desk: Desk, readings: Callable[[], list[bytes]]) -> None:
-        self.birth, self.desk, self.readings = birth, desk, readings
-        self.life, self.strange = 1 + desk.random(65535), 0  # names this start; frames not understood
-        self.strangers = set(range(max(2, birth.gateways))) - {birth.index}  # may know our earlier life
-        self.even = 0.9 * max(1.0, birth.mail_per_s) / SECOND / max(1, birth.gateways - 1)
-        self.swift = max(self.even, birth.mail_per_s / 4 / SECOND)  # at first; an ask with no reply halves it
-        self.peers = {i: Peer(desk.now, rate=self.swift) for i in range(birth.gateways) if i != birth.index}
-        for i in self.peers if birth.peers and birth.mail_per_s else ():  # as fast as answers are taken in
-            turn = int(1 / self.even) * ((i - birth.index) % birth.gateways) // birth.gateways
-            desk.at(desk.now + turn, self._greet, i, SECOND // 4)
+class PeerLinks:
+    def __init__(
+        self,
+        settings: interface.GatewaySettings,
+        context: DecisionContext,
+        readings: Callable[[], list[bytes]],
+    ) -> None:
+        self.settings, self.context, self.readings = settings, context, readings
+        self.life, self.strange = 1 + context.random(65535), 0  # names this start; frames not understood
+        self.strangers = set(range(max(2, settings.gateways))) - {settings.index}  # may know our earlier life
+        self.even = 0.9 * max(1.0, settings.peer_frames_per_s) / SECOND / max(1, settings.gateways - 1)
+        self.swift = max(
+            self.even, settings.peer_frames_per_s / 4 / SECOND
+        )  # at first; an ask with no reply halves it
+        self.peers = {
+            i: Peer(context.now, rate=self.swift) for i in range(settings.gateways) if i != settings.index
+        }
+        for i in (
+            self.peers if settings.peers and settings.peer_frames_per_s else ()
+        ):  # as fast as answers are taken in
+            turn = int(1 / self.even) * ((i - settings.index) % settings.gateways) // settings.gateways
+            context.at(context.now + turn, self._greet, i, SECOND // 4)
 
     def first_life(self) -> bool:
         """Whether none knew us before. A twentieth may be missing, or more are left after a mass kill."""
-        return -1 not in self.strangers and len(self.strangers) <= self.birth.gateways // 20
+        return -1 not in self.strangers and len(self.strangers) <= self.settings.gateways // 20
 
     def post(self, to: int, item: wire.Item) -> None:
         peer = self.peers[to]
         peer.queue.append(wire.pack_item(item))
         if len(peer.queue) == 1:
-            self.desk.at(self.desk.now + 1, self.flush, to)  # later in this batch's reply or in the next
+            self.context.at(
+                self.context.now + 1, self.flush, to
+            )  # later in this batch's reply or in the next
 
     def _greet(self, to: int, pause: int) -> None:
         """An empty frame, until the other is heard: those who never write could tell nobody's first life."""
         if not self.peers[to].life:
             self.flush(to, True)
-            self.desk.at(self.desk.now + pause, self._greet, to, min(2 * pause, 16 * SECOND))
+            self.context.at(self.context.now + pause, self._greet, to, min(2 * pause, 16 * SECOND))
 
     def flush(self, to: int, empty: bool = False) -> None:
-        peer, now = self.peers[to], self.desk.now
+        peer, now = self.peers[to], self.context.now
         ahead = now + 2 / peer.rate  # three frames may go at once
         if (peer.queue or empty) and peer.due <= ahead:
             peer.due, peer.sent = max(peer.due, now) + 1 / peer.rate, (peer.sent + 1) & 0xFFFF
             version = peer.version if peer.queue else wire.VERSION  # a greeting says what we understand
             items = wire.fill(peer.queue, self.readings() if version == wire.VERSION else ())
-            self.desk.commands.append(
-                face.Tell(
+            self.context.commands.append(
+                interface.SendPeerFrame(
                     to,
                     wire.pack(
                         self.life, peer.life, peer.sent, now // 10, items, peer.again, version or wire.OLDEST
@@ -68,7 +81,7 @@
                 )
             )
         if peer.queue:
-            self.desk.at(now + int(peer.due - ahead) + 1, self.flush, to)
+            self.context.at(now + int(peer.due - ahead) + 1, self.flush, to)
 
     def received(self, sender: int, data: bytes) -> list[wire.Item]:
         """What is to be acted on in a frame: not what was meant for the life before a restart."""
@@ -76,7 +89,7 @@
         if frame is None or peer is None or not frame.life:
             self.strange += 1
             if not self.strange & self.strange - 1:  # told at each doubling
-                self.desk.commands.append(face.Note(f"{self.strange} frames not understood"))
+                self.context.commands.append(interface.WriteLog(f"{self.strange} frames not understood"))
             return []
         peer.version = max(frame.version, peer.version * (frame.life == peer.life))
         if frame.life != peer.life:  # it has restarted: what it held or was asked is void
@@ -90,13 +103,13 @@
         if not peer.window.fresh(frame.number):
             return []
         if not (frame.to_life or frame.items):  # a greeting
-            self.desk.at(self.desk.now + 1, self.flush, sender, True)
+            self.context.at(self.context.now + 1, self.flush, sender, True)
         # Exception: asks of a stale backlog are skipped: 300 ms above the least delay seen from that peer.
-        stale = peer.window.delay(self.desk.now // 10, frame.clock) > 300
+        stale = peer.window.delay(self.context.now // 10, frame.clock) > 300
         peer.missed = peer.missed if stale else 0
         return [
             item
             for item in frame.items
-            if getattr(item, "plan", 0) < len(self.birth.plans)
+            if getattr(item, "plan", 0) < len(self.settings.plans)
             and (not stale if isinstance(item, wire.Ask | wire.Reading) else frame.to_life == self.life)
         ]
--- a/oakfork/early_signals.py
+++ b/oakfork/early_signals.py
@@ -5,31 +5,31 @@
 import signal
 from types import FrameType
 
-hangups: list[int] = []  # SIGHUPs that came early; emptied by taken
+pending_hangups: list[int] = []  # SIGHUPs that came early; emptied by taken
 
 
-def hold() -> None:
+def install_handlers() -> None:
     """SIGHUP is noted, and SIGTERM ends a process that has taken nothing yet, or has answered all, with 0."""
     signal.signal(signal.SIGHUP, _note)
     signal.signal(signal.SIGTERM, _end)
 
 
-def done() -> None:
+def ignore_signals() -> None:
     """All is answered. Python's end would give both signals back to the system: one would end it with its status."""
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     signal.signal(signal.SIGTERM, signal.SIG_IGN)
 
 
-def taken() -> bool:
+def take_pending_hangup() -> bool:
     """Whether a SIGHUP came meanwhile; it counts as heeded from here on."""
-    came = bool(hangups)
-    hangups.clear()
+    came = bool(pending_hangups)
+    pending_hangups.clear()
     return came
 
 
 def _note(number: int, frame: FrameType | None) -> None:
-    if not hangups:
-        hangups.append(number)
+    if not pending_hangups:
+        pending_hangups.append(number)
 
 
 def _end(number: int, frame: FrameType | None) -> None:
--- a/oakfork/fleet/services.py
+++ b/oakfork/fleet/services.py
@@ -20,14 +20,14 @@
 
 
 class Part:
-    """`listed` takes servers in discovery's form, and must not wait. Raises FleetError or AddressTaken where it can't
-    start."""
+    """`listed` takes servers in discovery's form, and must not wait. Raises FleetError or AddressInUseError where it
+    can't start."""
 
     def __init__(
         self, path: str, here: Surroundings, log: BoundLogger, listed: Callable[[list[dict[str, Any]]], None]
     ) -> None:
         self.file = read(path)
-        me = here.birth.index
+        me = here.settings.index
         if me >= len(self.file.addresses):
             raise FleetError([f"addresses: none for this gateway, whose settings.index is {me}"])
         self.log = log
@@ -48,7 +48,9 @@
             return None
         from oakfork.control.agent import Agent
 
-        return Agent(here.name, self.file.control.relays, here.birth.seed, log, self.listed, self.file.control.service)
+        return Agent(
+            here.name, self.file.control.relays, here.settings.seed, log, self.listed, self.file.control.service
+        )
 
     async def run(self) -> None:
         async with trio.open_nursery() as nursery:
--- a/oakfork/interface.py
+++ b/oakfork/interface.py
@@ -11,7 +11,7 @@
 SECOND = 10_000  # tenths of a millisecond
 
 
-class Repeat(IntEnum):
+class RepeatSafety(IntEnum):
     """Whether a method may run again."""
 
     IDEMPOTENT = 0
@@ -23,7 +23,7 @@
     """How a call-out ended."""
 
     OK = 0
-    MOOT = 249
+    NEVER_STARTED = 249
     CANCELLED = 250
     RESET = 251
     CONNECT_FAILED = 252
@@ -32,10 +32,10 @@
     ERROR = 255
 
 
-NEVER_RAN = frozenset((Status.MOOT, Status.CONNECT_FAILED, Status.FULL))
+NEVER_RAN = frozenset((Status.NEVER_STARTED, Status.CONNECT_FAILED, Status.FULL))
 
 
-class State(IntEnum):
+class ServerState(IntEnum):
     GONE = 0
     READY = 1
     DRAINING = 2
@@ -45,9 +45,9 @@
 class Method:
     soft_deadline: int
     deadline: int
-    repeat: Repeat
+    repeat: RepeatSafety
     group: str  # "all", "zone" or "cell": the servers that drop a repeat
-    remembered: int  # for how long they drop it
+    deduplication_time: int  # for how long they drop it
     utility: float
     late_utility: float
     streamed: bool
@@ -67,7 +67,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Birth:
+class GatewaySettings:
     """All that a gateway is told when it starts."""
 
     seed: int
@@ -76,19 +76,19 @@
     zone: int
     methods: tuple[Method, ...]
     plans: tuple[Plan, ...]
-    mail_per_s: float
-    most_units: float
-    settles: bool
+    peer_frames_per_s: float
+    max_units: float
+    reports_true_units: bool
     peers: bool
     cancel: bool
     second_copies: bool
     retry_after: bool
     probing: bool
     max_call_outs: int
-    asks_list: bool  # changes of the server list come only after a subscription
-    list_patience: int
-    report_names: tuple[str, ...]
-    report_how: str
+    subscribes_to_list: bool  # changes of the server list come only after a subscription
+    list_timeout: int
+    load_report_names: tuple[str, ...]
+    load_report_mode: str
     drain_grace: int
     cold_share: float
     cold_time: int
@@ -96,7 +96,7 @@
     fall_time: int
     probe_price: float = 0.0  # of one probe for each RPC, as a part of all utility
     connection_price: float = 0.0  # of one new connection for each RPC, likewise
-    idle_time: int = 0  # connections to servers last for so long unused; 0: not known
+    idle_timeout: int = 0  # connections to servers last for so long unused; 0: not known
 
 
 # Events
@@ -104,10 +104,10 @@
 
 class ServerEntry(NamedTuple):
     server: int
-    true_id: int  # the same at every gateway
+    global_id: int  # the same at every gateway
     zone: int
     cell: int
-    state: State
+    state: ServerState
     up_since: int  # 0: long ago
     weight: float
 
@@ -118,7 +118,7 @@
     entries: tuple[ServerEntry, ...]
 
 
-class Arrival(NamedTuple):
+class RpcArrived(NamedTuple):
     rpc: int
     customer: int  # the true id
     method: int
@@ -147,11 +147,11 @@
     load: tuple[float, ...]
 
 
-class ClientGone(NamedTuple):
+class ClientDisconnected(NamedTuple):
     rpc: int
 
 
-class TimeCame(NamedTuple):
+class TimerFired(NamedTuple):
     token: int
 
 
@@ -167,7 +167,7 @@
     data: bytes
 
 
-class CounterAnswered(NamedTuple):
+class CounterReplied(NamedTuple):
     status: Status
     total: float
     name: int
@@ -175,25 +175,25 @@
 
 Event = (
     ServerList
-    | Arrival
+    | RpcArrived
     | StreamStarted
     | CallOutEnded
-    | ClientGone
-    | TimeCame
+    | ClientDisconnected
+    | TimerFired
     | ProbeEnded
     | PeerFrame
-    | CounterAnswered
+    | CounterReplied
 )
 
 
 # Commands
 
 
-class Send(NamedTuple):
+class SendCallOut(NamedTuple):
     rpc: int
     server: int
     until: int  # on the clock; 0: until the client gives up
-    written_by: int = 0  # on the clock: if its last byte is not written then, it is never sent; 0: any time
+    write_deadline: int = 0  # on the clock: if its last byte is not written then, it is never sent; 0: any time
 
 
 class PushBack(NamedTuple):
@@ -205,77 +205,77 @@
     rpc: int
 
 
-class Cancel(NamedTuple):
+class CancelCallOut(NamedTuple):
     rpc: int
     call_out: int
 
 
-class Recall(NamedTuple):
+class CancelIfUnsent(NamedTuple):
     """Has a call-out never begin if its first byte is not written yet; it ends as moot. One that has begun goes on."""
 
     rpc: int
     call_out: int
 
 
-class Wake(NamedTuple):
+class SetTimer(NamedTuple):
     token: int
     after: int
 
 
-class Probe(NamedTuple):
+class ProbeServer(NamedTuple):
     server: int
 
 
-class Tell(NamedTuple):
+class SendPeerFrame(NamedTuple):
     peer: int
     data: bytes
 
 
-class Subscribe(NamedTuple):
+class SubscribeToList(NamedTuple):
     on: bool = True
 
 
-class ReadList(NamedTuple):
+class ReadServerList(NamedTuple):
     pass
 
 
-class CloseIdle(NamedTuple):
+class CloseIdleConnections(NamedTuple):
     """Closes the idle connections to a server."""
 
     server: int
 
 
-class Forget(NamedTuple):
+class ForgetServer(NamedTuple):
     """The server is gone and nothing is known of it any more: its index may be used for another."""
 
     server: int
 
 
-class Count(NamedTuple):
+class AddToCounter(NamedTuple):
     """Adds to a number that the counter service keeps."""
 
     name: int
     amount: float
-    kept_for: int  # if the name is new
+    ttl: int  # if the name is new
 
 
-class Note(NamedTuple):
+class WriteLog(NamedTuple):
     text: str
 
 
 Command = (
-    Send
+    SendCallOut
     | PushBack
     | Abort
-    | Cancel
-    | Recall
-    | Wake
-    | Probe
-    | Tell
-    | Subscribe
-    | ReadList
-    | CloseIdle
-    | Forget
-    | Count
-    | Note
+    | CancelCallOut
+    | CancelIfUnsent
+    | SetTimer
+    | ProbeServer
+    | SendPeerFrame
+    | SubscribeToList
+    | ReadServerList
+    | CloseIdleConnections
+    | ForgetServer
+    | AddToCounter
+    | WriteLog
 )
--- a/oakfork/lab/baseline_policies.py
+++ b/oakfork/lab/baseline_policies.py
@@ -9,16 +9,16 @@
 from dataclasses import dataclass
 from typing import Callable, Sequence
 
-from oakfork import interface as face
-from oakfork.decision import Brain
-from oakfork.interface import NEVER_RAN, SECOND, Repeat, State, Status
+from oakfork import interface
+from oakfork.decision import DecisionModule
+from oakfork.interface import NEVER_RAN, SECOND, RepeatSafety, ServerState, Status
 
 WINDOW = 2 * SECOND  # the central bucket counts in windows: short against a burst, long against a call
 
 
 @dataclass(slots=True)
 class Rpc:
-    ask: face.Arrival
+    ask: interface.RpcArrived
     dl: int
     sent: int = 0
     maybe: int = 0  # call-outs that may have run
@@ -29,10 +29,10 @@
 class Baseline:
     """`rpcs` is emptied as RPCs end, `buckets` holds as many as there are customers."""
 
-    def __init__(self, birth: face.Birth, now: int, choose: str, quota: str) -> None:
-        self.birth, self.choose, self.quota = birth, getattr(self, "_choose_" + choose), quota
-        self.dice = random.Random(birth.seed)
-        self.servers: dict[int, face.ServerEntry] = {}
+    def __init__(self, settings: interface.GatewaySettings, now: int, choose: str, quota: str) -> None:
+        self.settings, self.choose, self.quota = settings, getattr(self, "_choose_" + choose), quota
+        self.dice = random.Random(settings.seed)
+        self.servers: dict[int, interface.ServerEntry] = {}
         self.out: dict[int, int] = {}
         self.turn = 0
         self.rpcs: dict[int, Rpc] = {}
@@ -40,23 +40,23 @@
         self.counting: dict[int, list[int]] = {}  # name -> RPCs that wait for the counter; emptied by its answers
         self.ends: list[tuple[int, int]] = []
         self.woken = 0
-        self.commands: list[face.Command] = []
+        self.commands: list[interface.Command] = []
 
-    def handle(self, now: int, event: face.Event) -> Sequence[face.Command]:
+    def handle(self, now: int, event: interface.Event) -> Sequence[interface.Command]:
         self.commands = []
         match event:
-            case face.Arrival(index):
+            case interface.RpcArrived(index):
                 rpc = self.rpcs[index] = Rpc(event, now + event.time_left)
                 heapq.heappush(self.ends, (rpc.dl, index))
                 self._admit(now, index, rpc)
-            case face.CallOutEnded(index) if index in self.rpcs:
+            case interface.CallOutEnded(index) if index in self.rpcs:
                 self._ended(now, event, self.rpcs[index])
-            case face.ServerList():
+            case interface.ServerList():
                 for entry in event.entries:
                     self.servers[entry.server] = entry
-            case face.CounterAnswered(status, total, name):
+            case interface.CounterReplied(status, total, name):
                 self._counted(now, status, total, name)
-            case face.ClientGone(index) if index in self.rpcs:
+            case interface.ClientDisconnected(index) if index in self.rpcs:
                 self.rpcs.pop(index).over = True
         while self.ends and self.ends[0][0] <= now:
             _, index = heapq.heappop(self.ends)
@@ -65,13 +65,13 @@
                 self._give_up(index, rpc)
         if self.ends and (self.woken <= now or self.ends[0][0] < self.woken):
             self.woken = self.ends[0][0]
-            self.commands.append(face.Wake(0, max(1, self.woken - now)))
+            self.commands.append(interface.SetTimer(0, max(1, self.woken - now)))
         return self.commands
 
     # Quotas
 
     def _admit(self, now: int, index: int, rpc: Rpc) -> None:
-        plan, ask = self.birth.plans[rpc.ask.plan], rpc.ask
+        plan, ask = self.settings.plans[rpc.ask.plan], rpc.ask
         if self.quota == "none" or not plan.rate:
             self._send(now, index, rpc)
         elif self.quota == "local":
@@ -87,7 +87,7 @@
         else:
             name = ask.customer << 16 | now // WINDOW & 0xFFFF
             self.counting.setdefault(name, []).append(index)
-            self.commands.append(face.Count(name, ask.units, 2 * WINDOW))
+            self.commands.append(interface.AddToCounter(name, ask.units, 2 * WINDOW))
 
     def _counted(self, now: int, status: Status, total: float, name: int) -> None:
         waiting = self.counting.get(name, [])
@@ -97,7 +97,7 @@
         rpc = self.rpcs.get(index)
         if rpc is None or rpc.sent:
             return
-        plan = self.birth.plans[rpc.ask.plan]
+        plan = self.settings.plans[rpc.ask.plan]
         if status == Status.OK and total > plan.rate * WINDOW / SECOND + plan.burst / 2:
             self._refuse(index, WINDOW - now % WINDOW)
         else:  # a counter that does not answer lets everything in, as such gateways do
@@ -106,7 +106,7 @@
     # Servers
 
     def _fit(self) -> list[int]:
-        return [index for index, entry in self.servers.items() if entry.state == State.READY]
+        return [index for index, entry in self.servers.items() if entry.state == ServerState.READY]
 
     def _choose_random(self, fit: list[int]) -> int:
         return self.dice.choice(fit)
@@ -125,49 +125,49 @@
 
     def _send(self, now: int, index: int, rpc: Rpc) -> None:
         fit = self._fit()
-        if rpc.maybe and self.birth.methods[rpc.ask.method].repeat != Repeat.IDEMPOTENT:
+        if rpc.maybe and self.settings.methods[rpc.ask.method].repeat != RepeatSafety.IDEMPOTENT:
             fit = [server for server in fit if server == rpc.first]
-        if not fit or rpc.sent >= self.birth.max_call_outs or now >= rpc.dl:
+        if not fit or rpc.sent >= self.settings.max_call_outs or now >= rpc.dl:
             self._give_up(index, rpc)
             return
         server = self.choose(fit)
         rpc.sent, rpc.maybe = rpc.sent + 1, rpc.maybe + 1
         rpc.first = server if rpc.first < 0 else rpc.first
         self.out[server] = self.out.get(server, 0) + 1
-        self.commands.append(face.Send(index, server, 0))
+        self.commands.append(interface.SendCallOut(index, server, 0))
 
-    def _ended(self, now: int, event: face.CallOutEnded, rpc: Rpc) -> None:
+    def _ended(self, now: int, event: interface.CallOutEnded, rpc: Rpc) -> None:
         self.out[event.server] = max(0, self.out.get(event.server, 0) - 1)
         if event.status in NEVER_RAN:
             rpc.maybe -= 1
             rpc.first = rpc.first if rpc.maybe else -1
         if event.final or rpc.over:
             self.rpcs.pop(event.rpc, None)
-        elif self.birth.methods[rpc.ask.method].repeat == Repeat.IDEMPOTENT or not rpc.maybe:
+        elif self.settings.methods[rpc.ask.method].repeat == RepeatSafety.IDEMPOTENT or not rpc.maybe:
             self._send(now, event.rpc, rpc)
         else:
             self._give_up(event.rpc, rpc)
 
     def _refuse(self, index: int, wait: int) -> None:
         self.rpcs.pop(index).over = True
-        self.commands.append(face.PushBack(index, wait if self.birth.retry_after else 0))
+        self.commands.append(interface.PushBack(index, wait if self.settings.retry_after else 0))
 
     def _give_up(self, index: int, rpc: Rpc) -> None:
         self.rpcs.pop(index, None)
         rpc.over = True
-        harmless = not rpc.maybe or self.birth.methods[rpc.ask.method].repeat == Repeat.IDEMPOTENT
-        self.commands.append(face.PushBack(index, 0) if harmless else face.Abort(index))
+        harmless = not rpc.maybe or self.settings.methods[rpc.ask.method].repeat == RepeatSafety.IDEMPOTENT
+        self.commands.append(interface.PushBack(index, 0) if harmless else interface.Abort(index))
 
 
-Decide = Callable[[face.Birth, int], object]
+Decide = Callable[[interface.GatewaySettings, int], object]
 
 
 def _baseline(choose: str, quota: str) -> Decide:
-    return lambda birth, now: Baseline(birth, now, choose, quota)
+    return lambda settings, now: Baseline(settings, now, choose, quota)
 
 
 POLICIES: dict[str, Decide] = {
-    "oakfork": Brain,
+    "oakfork": DecisionModule,
     "random": _baseline("random", "none"),
     "round robin": _baseline("round_robin", "none"),
     "least outstanding": _baseline("least_outstanding", "none"),
--- a/oakfork/lab/customers.py
+++ b/oakfork/lab/customers.py
@@ -5,7 +5,7 @@
 from itertools import accumulate
 from typing import Any, Protocol
 
-from oakfork import interface as face
+from oakfork import interface
 from oakfork.interface import SECOND
 from oakfork.lab.environment import Exchange, Stage
 from oakfork.lab.event_loop import Kind
@@ -171,7 +171,7 @@
             rpc, watched, wish.units, lambda answer, advice: self._answered(wish, exchange, answer, advice)
         )
         world.checker.took(rpc, watched)
-        arrival = face.Arrival(
+        arrival = interface.RpcArrived(
             0,
             customer.number,
             wish.method_index,
--- a/oakfork/lab/environment.py
+++ b/oakfork/lab/environment.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass, field
 from typing import Any, Callable, Mapping, Protocol, Sequence
 
-from oakfork import interface as face
+from oakfork import interface
 from oakfork.lab.event_loop import Loop
 from oakfork.lab.invariant_checker import Checker, Watched
 from oakfork.lab.run_metrics import Tally
@@ -14,10 +14,10 @@
 class Policy(Protocol):
     """What decides: the decision module, or a baseline in its place."""
 
-    def handle(self, now: int, event: face.Event) -> Sequence[face.Command]: ...
+    def handle(self, now: int, event: interface.Event) -> Sequence[interface.Command]: ...
 
 
-Decide = Callable[[face.Birth, int], Policy]
+Decide = Callable[[interface.GatewaySettings, int], Policy]
 
 
 @dataclass(slots=True)
@@ -52,11 +52,11 @@
     life: int
     up: bool
 
-    def handle(self, event: face.Event, index: int | None = None) -> None: ...
+    def handle(self, event: interface.Event, index: int | None = None) -> None: ...
 
 
 class Counting(Protocol):
-    def call(self, gateway: Any, call: face.Count) -> None: ...
+    def call(self, gateway: Any, call: interface.AddToCounter) -> None: ...
 
 
 class Stage(Protocol):
@@ -71,7 +71,7 @@
 
     @property
     def servers(self) -> Mapping[int, Server]: ...
-    def birth(self, index: int, zone: int) -> face.Birth: ...
+    def gateway_settings(self, index: int, zone: int) -> interface.GatewaySettings: ...
     def distance(self, one: int, other: int) -> int: ...
     def frame(self, sender: Any, peer: int, data: bytes) -> None: ...
     def reach(self, gateway: Any, exchange: Exchange, call_out: CallOut, fresh: bool, life: int) -> None: ...
--- a/oakfork/lab/experiment.py
+++ b/oakfork/lab/experiment.py
@@ -12,7 +12,7 @@
 
 from oakfork.configuration_schema import against, read_toml
 from oakfork.errors import ExperimentError
-from oakfork.interface import SECOND, Repeat
+from oakfork.interface import SECOND, RepeatSafety
 from oakfork.lab import world_config
 from oakfork.lab.baseline_policies import POLICIES
 from oakfork.settings import tenths
@@ -302,9 +302,9 @@
 
 def _world(told: dict[str, Any], faults: list[dict[str, Any]]) -> world_config.WorldPlan:
     repeats = {
-        "idempotent": Repeat.IDEMPOTENT,
-        "deduplicated": Repeat.DEDUPLICATED,
-        "non-idempotent": Repeat.NON_IDEMPOTENT,
+        "idempotent": RepeatSafety.IDEMPOTENT,
+        "deduplicated": RepeatSafety.DEDUPLICATED,
+        "non-idempotent": RepeatSafety.NON_IDEMPOTENT,
     }
     servers, clients, links = told["servers"], told["clients"], told["links"]
     return world_config.WorldPlan(
--- a/oakfork/lab/fake_services.py
+++ b/oakfork/lab/fake_services.py
@@ -16,7 +16,7 @@
 import numpy
 import trio
 
-from oakfork.errors import Break
+from oakfork.errors import ConnectionFailedError
 from oakfork.sockets.http_connection import Link, Message
 
 MOST_CONNECTIONS = 2000
@@ -58,7 +58,7 @@
                 await link.drain(left)
                 if not link.renew():
                     return
-        except Break:
+        except ConnectionFailedError:
             pass
         finally:
             self.open -= 1
--- a/oakfork/lab/gateway_model.py
+++ b/oakfork/lab/gateway_model.py
@@ -2,9 +2,9 @@
 
 from typing import Sequence
 
-from oakfork import interface as face
-from oakfork.index_table import Door
-from oakfork.interface import SECOND, State, Status
+from oakfork import interface
+from oakfork.index_table import IndexTable
+from oakfork.interface import SECOND, ServerState, Status
 from oakfork.lab.environment import CallOut, Exchange, Policy, Stage
 from oakfork.lab.event_loop import Kind
 from oakfork.lab.server_model import Server
@@ -19,7 +19,7 @@
         self.world, self.number, self.zone = world, number, zone
         self.life, self.up, self.deaf = 0, False, False
         self.policy: Policy | None = None
-        self.door: Door[int, int] = Door()
+        self.index_table: IndexTable[int, int] = IndexTable()
         self.exchanges: dict[int, Exchange] = {}  # by the door's index; emptied as RPCs end
         self.idle: dict[int, list[int]] = {}  # server -> idle connections, since when; emptied by use
         self.list: dict[int, Server] = {}  # by the true number: what it was told last
@@ -29,8 +29,8 @@
     def start(self) -> None:
         world = self.world
         self.life, self.up = self.life + 1, True
-        self.door, self.exchanges, self.idle, self.list = Door(), {}, {}, {}
-        self.policy = world.decide(world.birth(self.number, self.zone), world.loop.now)
+        self.index_table, self.exchanges, self.idle, self.list = IndexTable(), {}, {}, {}
+        self.policy = world.decide(world.gateway_settings(self.number, self.zone), world.loop.now)
         known = [server for server in world.servers.values() if server.up]
         self.told(known, True)
 
@@ -48,20 +48,22 @@
             return
         entries, checker, now = [], self.world.checker, self.world.loop.now
         for server in servers:
-            state = State.GONE if not server.up else State.DRAINING if server.draining else State.READY
-            if state == State.GONE and server.number not in self.door.servers:
+            state = (
+                ServerState.GONE if not server.up else ServerState.DRAINING if server.draining else ServerState.READY
+            )
+            if state == ServerState.GONE and server.number not in self.index_table.servers:
                 continue
             known = self.list.get(server.number)
             if known is not None and known is not server:
                 self.idle.pop(server.number, None)  # another process there
             self.list[server.number] = server
-            if state == State.READY:
+            if state == ServerState.READY:
                 checker.ready_told(self.number, server.number)
             else:
                 checker.drain_told(self.number, server.number, now)
             entries.append(
-                face.ServerEntry(
-                    self.door.server(server.number),
+                interface.ServerEntry(
+                    self.index_table.server_index(server.number),
                     server.number + 1,
                     server.zone,
                     server.cell,
@@ -70,17 +72,17 @@
                     1.0,
                 )
             )
-        self.handle(face.ServerList(complete, False, tuple(entries)))
+        self.handle(interface.ServerList(complete, False, tuple(entries)))
 
-    def arrive(self, exchange: Exchange, arrival: face.Arrival) -> None:
-        exchange.index = self.door.admit(exchange.rpc)
+    def arrive(self, exchange: Exchange, arrival: interface.RpcArrived) -> None:
+        exchange.index = self.index_table.add_rpc(exchange.rpc)
         self.exchanges[exchange.index] = exchange
         self.handle(arrival._replace(rpc=exchange.index), exchange.index)
 
     def client_gone(self, exchange: Exchange, life: int) -> None:
         if self.up and life == self.life and not exchange.over:
             self._over(exchange)
-            self.handle(face.ClientGone(exchange.index), exchange.index)
+            self.handle(interface.ClientDisconnected(exchange.index), exchange.index)
 
     def frame(self, sender: int, data: bytes, life: int) -> None:
         """A frame arrives; beyond what a gateway takes in a second it is lost unseen."""
@@ -90,16 +92,16 @@
         if self.mail_second != now // SECOND:
             self.mail_second, self.mail = now // SECOND, 0.0
         self.mail += 1
-        if self.mail > self.world.plan.links.mail_per_s:
+        if self.mail > self.world.plan.links.peer_frames_per_s:
             self.world.tally.add("frames not taken", now)
             return
-        self.handle(face.PeerFrame(sender, data))
+        self.handle(interface.PeerFrame(sender, data))
 
     def timer(self, token: int, life: int) -> None:
         if self.up and life == self.life:
-            self.handle(face.TimeCame(token))
+            self.handle(interface.TimerFired(token))
 
-    def handle(self, event: face.Event, index: int | None = None) -> None:
+    def handle(self, event: interface.Event, index: int | None = None) -> None:
         touched = {index} if index is not None else set()
         own = [event]
         while own:
@@ -107,44 +109,44 @@
             for command in self.policy.handle(self.world.loop.now, event):
                 self._carry_out(command, own, touched)
         for index in sorted(touched):
-            self.door.settle(index)
-            if self.door.tickets[index] is None:
+            self.index_table.release_rpc(index)
+            if self.index_table.rpc_entries[index] is None:
                 self.exchanges.pop(index, None)
 
     def _over(self, exchange: Exchange) -> None:
         exchange.over = True
-        self.door.tickets[exchange.index].over = True
+        self.index_table.rpc_entries[exchange.index].answered = True
 
-    def _carry_out(self, command: face.Command, own: list[face.Event], touched: set[int]) -> None:
+    def _carry_out(self, command: interface.Command, own: list[interface.Event], touched: set[int]) -> None:
         world, loop = self.world, self.world.loop
         match command:
-            case face.Send(index, server):
+            case interface.SendCallOut(index, server):
                 self._send(self.exchanges[index], server, own)
-            case face.PushBack(index, advice):
+            case interface.PushBack(index, advice):
                 self._finish(self.exchanges[index], "pushed back", advice)
                 touched.add(index)
-            case face.Abort(index):
+            case interface.Abort(index):
                 self._finish(self.exchanges[index], "aborted", 0)
                 touched.add(index)
-            case face.Cancel(index, number):
+            case interface.CancelCallOut(index, number):
                 exchange = self.exchanges.get(index)
                 call_out = exchange.call_outs.get(number) if exchange else None
                 if call_out and not call_out.over:
                     self._withdraw(call_out)
                     loop.after(1, Kind.ENDING, self.ended, exchange, call_out, Status.CANCELLED, self.life)
-            case face.Wake(token, after):
+            case interface.SetTimer(token, after):
                 loop.after(after, Kind.TIMER, self.timer, token, self.life)
-            case face.Tell(peer, data):
+            case interface.SendPeerFrame(peer, data):
                 world.frame(self, peer, data)
-            case face.Probe(server):
+            case interface.ProbeServer(server):
                 world.probe(self, server)
-            case face.Count():
+            case interface.AddToCounter():
                 world.counter.call(self, command)
-            case face.CloseIdle(server) | face.Forget(server):
-                true_number = self.door.server_ids[server]
+            case interface.CloseIdleConnections(server) | interface.ForgetServer(server):
+                true_number = self.index_table.server_ids[server]
                 self.idle.pop(true_number, None)
-                if isinstance(command, face.Forget):
-                    self.door.forget(server)
+                if isinstance(command, interface.ForgetServer):
+                    self.index_table.forget_server(server)
                     self.list.pop(true_number, None)
 
     def _finish(self, exchange: Exchange, answer: str, advice: int) -> None:
@@ -154,14 +156,16 @@
 
     # Call-outs
 
-    def _send(self, exchange: Exchange, index: int, own: list[face.Event]) -> None:
+    def _send(self, exchange: Exchange, index: int, own: list[interface.Event]) -> None:
         world, now = self.world, self.world.loop.now
-        server = self.list[self.door.server_ids[index]]
+        server = self.list[self.index_table.server_ids[index]]
         number, exchange.sent = exchange.sent, exchange.sent + 1
         if exchange.over or now >= exchange.watched.dl:
-            own.append(face.CallOutEnded(exchange.index, number, index, 0, Status.MOOT, exchange.over, 0.0, ()))
+            own.append(
+                interface.CallOutEnded(exchange.index, number, index, 0, Status.NEVER_STARTED, exchange.over, 0.0, ())
+            )
             return
-        self.door.tickets[exchange.index].out += 1
+        self.index_table.rpc_entries[exchange.index].open_call_outs += 1
         call_out = exchange.call_outs[number] = CallOut(number, server, now)
         world.checker.sent(exchange.rpc, self.number, server.number, now)
         world.tally.add("call-outs", now)
@@ -204,15 +208,15 @@
         elif call_out.reached:
             server.connections -= 1
         self.world.checker.ended(exchange.rpc)
-        self.door.tickets[exchange.index].out -= 1
+        self.index_table.rpc_entries[exchange.index].open_call_outs -= 1
         if status == Status.OK and not exchange.over:
             self._finish(exchange, "ok", 0)
-        index = self.door.servers.get(server.number)
+        index = self.index_table.servers.get(server.number)
         if index is None:
-            self.door.settle(exchange.index)
+            self.index_table.release_rpc(exchange.index)
             return
         self.handle(
-            face.CallOutEnded(
+            interface.CallOutEnded(
                 exchange.index, call_out.number, index, now - call_out.sent_at, status, exchange.over, 0.0, ()
             ),
             exchange.index,
--- a/oakfork/lab/gateway_processes.py
+++ b/oakfork/lab/gateway_processes.py
@@ -16,7 +16,7 @@
 import tomli_w
 import trio
 
-from oakfork.errors import RigError
+from oakfork.errors import DrillProcessError
 from oakfork.lab.datagram_relay import Relays, socket_here
 from oakfork.lab.fault_schedule import HOLDER, Trouble
 from oakfork.lab.fenced_resource import Witness
@@ -85,15 +85,17 @@
             self.processes[index].wait(5)
 
     async def ready(self) -> None:
-        """All processes are serving, or RigError."""
+        """All processes are serving, or DrillProcessError."""
         with trio.move_on_after(READY) as scope:
             for index in range(self.gateways):
                 while b'"serving"' not in (self.folder / f"n{index}.log").read_bytes():
                     if self.processes[index].poll() is not None:
-                        raise RigError(f"gateway {index} ended: {(self.folder / f'n{index}.log').read_text()[-400:]}")
+                        raise DrillProcessError(
+                            f"gateway {index} ended: {(self.folder / f'n{index}.log').read_text()[-400:]}"
+                        )
                     await trio.sleep(0.02)
         if scope.cancelled_caught:
-            raise RigError(f"not all {self.gateways} gateways were ready within {READY:.0f} s")
+            raise DrillProcessError(f"not all {self.gateways} gateways were ready within {READY:.0f} s")
 
     async def run(self, play: Callable[["Rig"], Any]) -> Any:
         """Starts all, plays, ends all."""
@@ -107,7 +109,7 @@
                 try:
                     await self.ready()
                     result = await play(self)
-                except RigError as error:  # by itself, not inside the nursery's group
+                except DrillProcessError as error:  # by itself, not inside the nursery's group
                     failed = error
                 nursery.cancel_scope.cancel()
         finally:
@@ -115,7 +117,7 @@
                 with suppress(OSError, subprocess.TimeoutExpired):
                     self.kill(index)
         if failed:
-            raise RigError(str(failed)) from failed
+            raise DrillProcessError(str(failed)) from failed
         return result
 
     # Troubles. Each undoes itself after its time.
--- a/oakfork/lab/invariant_checker.py
+++ b/oakfork/lab/invariant_checker.py
@@ -7,7 +7,7 @@
 from collections import deque
 from dataclasses import dataclass, field
 
-from oakfork.interface import SECOND, Repeat
+from oakfork.interface import SECOND, RepeatSafety
 from oakfork.lab.world_config import MethodPlan, PlanOfCustomers, WorldPlan
 
 MOST_LINES = 50  # told of each rule; all are counted
@@ -71,8 +71,8 @@
         if (
             answer == "pushed back"
             and watched.ran
-            and watched.method.repeat != Repeat.IDEMPOTENT
-            and (watched.method.repeat == Repeat.NON_IDEMPOTENT or watched.method.group != "all")
+            and watched.method.repeat != RepeatSafety.IDEMPOTENT
+            and (watched.method.repeat == RepeatSafety.NON_IDEMPOTENT or watched.method.group != "all")
         ):
             self.breaks("effects", now, f"RPC {rpc} was pushed back though it ran: a retry runs it again")
         self._forget(rpc, watched)
@@ -158,11 +158,11 @@
     def ran(self, rpc: int, watched: Watched, group: int, sent_at: int, now: int) -> None:
         """An effect. The world says which group of servers would know a repeat."""
         method = watched.method
-        if method.repeat == Repeat.IDEMPOTENT:
+        if method.repeat == RepeatSafety.IDEMPOTENT:
             return
         again = bool(watched.ran)
-        if again and method.repeat == Repeat.DEDUPLICATED:
-            again = not any(g == group and sent_at < first + method.remembered for g, first in watched.ran)
+        if again and method.repeat == RepeatSafety.DEDUPLICATED:
+            again = not any(g == group and sent_at < first + method.deduplication_time for g, first in watched.ran)
         if again:
             self.breaks("effects", now, f"RPC {rpc} of method {method.name} ran twice")
         watched.ran.append((group, sent_at))
--- a/oakfork/lab/lease_drill.py
+++ b/oakfork/lab/lease_drill.py
@@ -63,7 +63,7 @@
     troubles: list[Trouble] | None = None,
     keep: Path | None = None,
 ) -> LeaseDrill:
-    """Plays one schedule; the record goes to `keep`. Raises RigError where the processes don't start."""
+    """Plays one schedule; the record goes to `keep`. Raises DrillProcessError where the processes don't start."""
     scale = length_ms / 1000
     drawn = troubles if troubles is not None else fault_schedule.draw(seed, gateways, seconds, scale, range(voters))
 
--- a/oakfork/lab/load_generator.py
+++ b/oakfork/lab/load_generator.py
@@ -10,7 +10,7 @@
 import trio
 from hdrh.histogram import HdrHistogram
 
-from oakfork.errors import Break, ConfigurationError, LoadError
+from oakfork.errors import ConfigurationError, ConnectionFailedError, LoadSettingsError
 from oakfork.sockets.configuration import Address, address
 from oakfork.sockets.http_connection import Link, connect
 
@@ -69,9 +69,9 @@
         host, port = address(text)
         inside = ipaddress.ip_address(host).is_loopback
     except (ConfigurationError, ValueError):
-        raise LoadError(f"not an address of the form 127.0.0.1:8443: {text!r}") from None
+        raise LoadSettingsError(f"not an address of the form 127.0.0.1:8443: {text!r}") from None
     if not inside:
-        raise LoadError(f"only loopback addresses are loaded, not {host}")
+        raise LoadSettingsError(f"only loopback addresses are loaded, not {host}")
     return host, port
 
 
@@ -79,7 +79,7 @@
     def __init__(self, load: Load) -> None:
         self.load, self.targets = load, [loopback(text) for text in load.gateways]
         if load.rate * load.seconds > MOST_RPCS:
-            raise LoadError(f"over {MOST_RPCS} RPCs")
+            raise LoadSettingsError(f"over {MOST_RPCS} RPCs")
         self.dice = numpy.random.default_rng(load.seed)
         self.answers: Counter[str] = Counter()
         self.latency, self.service = HdrHistogram(1, LONGEST, 3), HdrHistogram(1, LONGEST, 3)
@@ -135,7 +135,7 @@
                 except BaseException:
                     link.close()
                     raise
-            except Break as end:
+            except ConnectionFailedError as end:
                 if new:
                     return end.ending.name.lower()
         return "none"
--- a/oakfork/lab/port_allocator.py
+++ b/oakfork/lab/port_allocator.py
@@ -10,7 +10,7 @@
 from contextlib import suppress
 from typing import Any
 
-from oakfork.errors import RigError
+from oakfork.errors import DrillProcessError
 
 BLOCK = 250  # ports; a process of the laboratory asks for some twenty at a time, at most
 CLAIM = "\0oakfork ports {}"
@@ -25,7 +25,7 @@
 
 
 class Ports:
-    """A block of ports and the claim to it. Raises RigError if all blocks of the range are claimed."""
+    """A block of ports and the claim to it. Raises DrillProcessError if all blocks of the range are claimed."""
 
     def __init__(self, first: int, last: int) -> None:
         self.claim = socket.socket(socket.AF_UNIX, socket.SOCK_DGRAM)
@@ -36,7 +36,9 @@
                 break
         else:
             self.claim.close()
-            raise RigError(f"all ports from {first} to {last} are claimed by other processes of the laboratory")
+            raise DrillProcessError(
+                f"all ports from {first} to {last} are claimed by other processes of the laboratory"
+            )
         self.owner, self.given = os.getpid(), 0
 
     def free(self, number: int, kind: Any) -> list[Place]:
@@ -51,7 +53,7 @@
                 sock.bind(place)  # may still be somebody else's, or one that has not quite ended
                 places.append(place)
         if len(places) < number:
-            raise RigError(f"fewer than {number} ports are free from {self.block.start} to {self.block.stop}")
+            raise DrillProcessError(f"fewer than {number} ports are free from {self.block.start} to {self.block.stop}")
         return places
 
 
@@ -59,7 +61,8 @@
 
 
 def free_places(number: int, kind: Any) -> list[Place]:
-    """Places for processes that this one starts; raises RigError. `OAKFORK_RIG_PORTS` names the range of ports."""
+    """Places for processes that this one starts; raises DrillProcessError.
+    `OAKFORK_RIG_PORTS` names the range of ports."""
     if not _ours or _ours[0].owner != os.getpid():
         _ours[:] = [Ports(*_range())]
     return _ours[0].free(number, kind)
--- a/oakfork/lab/scale/added_latency.py
+++ b/oakfork/lab/scale/added_latency.py
@@ -15,7 +15,7 @@
 import numpy
 import trio
 
-from oakfork.errors import RigError
+from oakfork.errors import DrillProcessError
 from oakfork.lab.scale.added_latency_backends import Parties, Served, listed
 from oakfork.lab.scale.added_latency_gateways import MAIL_PER_S, PROGRAM, TRACED, Block, Row, Tier, play
 from oakfork.lab.scale.slopes import Measure, line_of
@@ -69,7 +69,9 @@
 
 
 def measure(told: Callable[[str], None], small: bool = False) -> tuple[list[Measure], dict[str, Any]]:
-    """About four minutes; `small` takes seconds. Raises RigError where processes do not start, answer or leave."""
+    """About four minutes; `small` takes seconds.
+
+    Raises DrillProcessError where processes do not start, answer or leave."""
     sizes, begun = SMALL if small else Sizes(), monotonic()
     with tempfile.TemporaryDirectory(prefix="oakfork-added-") as folder, Parties(DOZEN, WORK) as parties:
         more: dict[str, Any] = {}
@@ -235,7 +237,7 @@
 def client_of(rows: list[Row], served: dict[str, list[Served]], kind: str) -> dict[str, Any]:
     beside = _beside(rows, served)
     if not beside:
-        raise RigError(f"no RPC was answered: {kind}")
+        raise DrillProcessError(f"no RPC was answered: {kind}")
     return {"total": _quantiles([row.ended - row.begun for row in rows]), "beside the server": _quantiles(beside)}
 
 
--- a/oakfork/lab/scale/added_latency_backends.py
+++ b/oakfork/lab/scale/added_latency_backends.py
@@ -16,7 +16,7 @@
 
 import trio
 
-from oakfork.errors import Break, RigError
+from oakfork.errors import ConnectionFailedError, DrillProcessError
 from oakfork.lab.fake_services import DiscoveryStandIn, ServerStandIn, Work, entry
 from oakfork.sockets.http_connection import Message
 from oakfork.sockets.outcomes import Ending
@@ -52,7 +52,7 @@
         if rpc is None or message.head.target.startswith(b"/-/"):
             return await super().answer(message)
         if self.luck.random() < self.breaks:
-            raise Break(Ending.GIVEN_UP)
+            raise ConnectionFailedError(Ending.GIVEN_UP)
         async with self.cores:
             await trio.sleep(self.work.mean)
         if len(self.served) < MOST_SERVED:
@@ -155,7 +155,7 @@
 
 
 class Parties:
-    """The other side: starts the process and gives it orders. Raises RigError where it does not answer."""
+    """The other side: starts the process and gives it orders. Raises DrillProcessError where it does not answer."""
 
     def __init__(self, servers: int, work_s: float) -> None:
         environment = {key: value for key, value in os.environ.items() if not key.startswith("LB_")}
@@ -190,7 +190,7 @@
 
     def _heard(self) -> dict[str, Any]:
         if not (line := self.process.stdout.readline()):
-            raise RigError("the process of stand-in servers ended")
+            raise DrillProcessError("the process of stand-in servers ended")
         return json.loads(line)
 
     def do(self, order: str, **told: Any) -> dict[str, Any]:
@@ -199,7 +199,7 @@
             self.process.stdin.write(json.dumps({"do": order} | told).encode() + b"\n")
             self.process.stdin.flush()
         except OSError:
-            raise RigError("the process of stand-in servers ended") from None
+            raise DrillProcessError("the process of stand-in servers ended") from None
         return self._heard()
 
     def sound(self) -> None:
--- a/oakfork/lab/scale/added_latency_gateways.py
+++ b/oakfork/lab/scale/added_latency_gateways.py
@@ -14,7 +14,7 @@
 import tomli_w
 import trio
 
-from oakfork.errors import Break, RigError
+from oakfork.errors import ConnectionFailedError, DrillProcessError
 from oakfork.lab.datagram_relay import Relays
 from oakfork.lab.load_generator import Generator, Load
 from oakfork.lab.port_allocator import free_places, text
@@ -147,16 +147,16 @@
             process.wait()
 
     async def ready(self) -> None:
-        """All are serving, or RigError."""
+        """All are serving, or DrillProcessError."""
         with trio.move_on_after(READY) as scope:
             for index, listen in enumerate(self.listens):
                 while not await _ready(listen):
                     if self.processes[index].poll() is not None:
                         log = self._path(index, "log").read_text()[-400:]
-                        raise RigError(f"gateway {self.name}{index} ended: {log}")
+                        raise DrillProcessError(f"gateway {self.name}{index} ended: {log}")
                     await trio.sleep(0.02)
         if scope.cancelled_caught:
-            raise RigError(f"the gateways of tier {self.name} were not ready within {READY:.0f} s")
+            raise DrillProcessError(f"the gateways of tier {self.name} were not ready within {READY:.0f} s")
 
     async def stop(self, index: int, seconds: float) -> tuple[int, int]:
         """Stops a gateway for a time, and returns when that was, by perf_counter_ns."""
@@ -178,9 +178,9 @@
                 process.wait(max(0.1, until - monotonic()))
         ended = [process.poll() for process in self.processes]
         if any(ended):  # None would be one that has not left; 0 is as it should be
-            raise RigError(f"the gateways of tier {self.name} ended with {ended}")
+            raise DrillProcessError(f"the gateways of tier {self.name} ended with {ended}")
         if None in ended:
-            raise RigError(f"not all gateways of tier {self.name} left within {LEAVING:.0f} s")
+            raise DrillProcessError(f"not all gateways of tier {self.name} left within {LEAVING:.0f} s")
         if self.module == PROGRAM:
             return []
         return [
@@ -199,7 +199,7 @@
             return (await link.read()).head.status_code == 200
         finally:
             link.close()
-    except Break:
+    except ConnectionFailedError:
         return False
 
 
--- a/oakfork/lab/scale/capacity_tables.py
+++ b/oakfork/lab/scale/capacity_tables.py
@@ -5,7 +5,7 @@
 from pathlib import Path
 from typing import Callable
 
-from oakfork.errors import ScaleError
+from oakfork.errors import MeasurementError
 from oakfork.lab.scale import capacity_control, capacity_days as days, capacity_gaps, capacity_roles as roles
 from oakfork.lab.scale.budget import Budget, Open, Today
 from oakfork.lab.scale.capacity_figures import NOT_MEASURED, SURE, WHOLE, Row, Store, markdown, plain, shown
@@ -111,7 +111,7 @@
     """The tables that a page marks; raises ScaleError where a marker has no other end, or a name stands twice."""
     found = [match["name"] for match in MARKED.finditer(page)]
     if len(MARKER.findall(page)) != 2 * len(found) or len(set(found)) != len(found):
-        raise ScaleError("a marker without its other end, or a table marked twice")
+        raise MeasurementError("a marker without its other end, or a table marked twice")
     return found
 
 
@@ -119,7 +119,7 @@
     """The page with the tables between its markers; raises ScaleError where either has one that the other has not."""
     marked = set(names_in(page))
     if marked != found.keys():
-        raise ScaleError(f"marked or written, but not both: {', '.join(sorted(marked ^ found.keys()))}")
+        raise MeasurementError(f"marked or written, but not both: {', '.join(sorted(marked ^ found.keys()))}")
     return MARKED.sub(
         lambda match: f"<!-- table: {match['name']} -->\n{found[match['name']]}\n<!-- end of table -->", page
     )
--- a/oakfork/lab/scale/cli.py
+++ b/oakfork/lab/scale/cli.py
@@ -8,7 +8,7 @@
 
 import click
 
-from oakfork.errors import MISTAKE, WRONG, OakforkError, lines
+from oakfork.errors import EXIT_FAILURE, EXIT_USAGE, OakforkError, error_lines
 
 GROUPS = {
     "module": "oakfork.lab.scale.module_costs",
@@ -47,7 +47,7 @@
         _end(f"{page}: not written: {error}")
     if check:
         click.echo(f"{page}: " + ("as stored" if told == text else f"differs from what {folder} gives"))
-        return WRONG if told != text else 0
+        return EXIT_FAILURE if told != text else 0
     if told != text:
         page.write_text(told)
     click.echo(f"{page}: {'written' if told != text else 'as it was'}")
@@ -97,17 +97,17 @@
         try:
             _measure(name, to if small else folder, small)
         except OakforkError as error:
-            return _failed(lines(error, name), error.status)
+            return _failed(error_lines(error, name), error.status)
         except (OSError, ValueError) as error:
             return _failed(f"{name}: {error}")
     return 0
 
 
 def _end(text: str) -> NoReturn:
-    sys.exit(_failed(text, MISTAKE))
+    sys.exit(_failed(text, EXIT_USAGE))
 
 
-def _failed(text: str, status: int = WRONG) -> int:
+def _failed(text: str, status: int = EXIT_FAILURE) -> int:
     for line in text.splitlines():
         click.echo(f"oakfork: {line}", err=True)
     return status
--- a/oakfork/lab/scale/control_costs.py
+++ b/oakfork/lab/scale/control_costs.py
@@ -14,7 +14,7 @@
 import trio
 
 from oakfork.control.messages import EMPTY
-from oakfork.errors import RigError
+from oakfork.errors import DrillProcessError
 from oakfork.lab.scale import generated_state, real_gateways as besides
 from oakfork.lab.scale.fleet_run import FULL, PUBLISHER, Fleet, Shape, drawn
 from oakfork.lab.scale.fleet_verifier import Acked
@@ -133,16 +133,16 @@
         self.more: dict[str, Any] = {}
 
     def run(self) -> Played:
-        """Raises RigError, also where the witness finds a fault."""
+        """Raises DrillProcessError, also where the witness finds a fault."""
         with tempfile.TemporaryDirectory(prefix="oakfork-fleet-") as folder:
             fleet = Fleet(Path(folder), self.shape, self.sizes.seed)
             played = trio.run(fleet.run, self._play)
             if faults := fleet.judged():
-                raise RigError(f"{self.gateways} gateways: " + "; ".join(faults))
+                raise DrillProcessError(f"{self.gateways} gateways: " + "; ".join(faults))
             return played._replace(more=played.more | {"counts": fleet.counts})
 
     def faults(self) -> dict[str, Any]:
-        """A play of faults; raises RigError where the witness finds a fault."""
+        """A play of faults; raises DrillProcessError where the witness finds a fault."""
         sizes = self.sizes
         plan = drawn(sizes.seed, self.shape, sizes.span, sizes.holds)
         with tempfile.TemporaryDirectory(prefix="oakfork-fleet-") as folder:
@@ -155,7 +155,7 @@
 
             trio.run(fleet.run, play)
             if found := fleet.judged():
-                raise RigError(f"faults of seed {sizes.seed}: " + "; ".join(found))
+                raise DrillProcessError(f"faults of seed {sizes.seed}: " + "; ".join(found))
             return {
                 "seed": sizes.seed,
                 "plan": [one._asdict() for one in plan],
@@ -245,7 +245,7 @@
             try:
                 while left and not failed:
                     await fleet.publish(left.pop())
-            except RigError as error:
+            except DrillProcessError as error:
                 failed.append(error)
 
         async with trio.open_nursery() as nursery:
@@ -305,11 +305,12 @@
                 await trio.sleep(0.02)
                 fleet.read()
             return
-        raise RigError(f"{name} did not begin within {self.sizes.spread:g} s")
+        raise DrillProcessError(f"{name} did not begin within {self.sizes.spread:g} s")
 
 
 def measure(told: Callable[[str], None], small: bool = False) -> tuple[list[Measure], dict[str, Any]]:
-    """Raises RigError where processes do not start or end, a change set is not in force everywhere in time, or the
+    """Raises DrillProcessError
+    where processes do not start or end, a change set is not in force everywhere in time, or the
     witness finds a fault."""
     sizes = SMALL if small else Sizes()
     played = {gateways: Player(sizes, gateways, told).run() for gateways in reversed(sizes.gateways)}
--- a/oakfork/lab/scale/control_faults.py
+++ b/oakfork/lab/scale/control_faults.py
@@ -12,7 +12,7 @@
 
 
 def measure(told: Callable[[str], None], small: bool = False) -> tuple[list[Measure], dict[str, Any]]:
-    """No measures; what was played and seen. Raises RigError where the witness finds a fault."""
+    """No measures; what was played and seen. Raises DrillProcessError where the witness finds a fault."""
     sizes = SMALL if small else Sizes()
     gateways = sizes.gateways[-1]
     played = Player(sizes, gateways, told).faults()
--- a/oakfork/lab/scale/fleet_run.py
+++ b/oakfork/lab/scale/fleet_run.py
@@ -20,7 +20,7 @@
 from oakfork.control import client
 from oakfork.control.follower_server import EGRESS
 from oakfork.control.messages import EMPTY, Position
-from oakfork.errors import PublisherSilent, RigError
+from oakfork.errors import DrillProcessError, PublisherTimeoutError
 from oakfork.lab.port_allocator import free_places, text
 from oakfork.lab.scale import fleet_verifier, generated_state
 from oakfork.lab.scale.faulty_connections import Way
@@ -97,7 +97,7 @@
     # Begin and end
 
     async def run(self, play: Callable[["Fleet"], Awaitable[Any]]) -> Any:
-        """Starts all, plays, ends all; raises RigError."""
+        """Starts all, plays, ends all; raises DrillProcessError."""
         result, failed = None, None
         try:
             async with trio.open_nursery() as self.nursery:
@@ -105,7 +105,7 @@
                     await self._begin()
                     result = await play(self)
                     await self.end()
-                except (RigError, PublisherSilent) as error:  # by itself, not inside the nursery's group
+                except (DrillProcessError, PublisherTimeoutError) as error:  # by itself, not inside the nursery's group
                     failed = error
                 self.nursery.cancel_scope.cancel()
         finally:
@@ -117,7 +117,7 @@
             for file, _ in self.files.values():
                 file.close()
         if failed is not None:
-            raise RigError(str(failed)) from failed
+            raise DrillProcessError(str(failed)) from failed
         return result
 
     async def _begin(self) -> None:
@@ -143,7 +143,7 @@
                 while Position(*(await client.status(text(place), START))["position"]) < position:
                     await trio.sleep(0.1)
         if scope.cancelled_caught:
-            raise RigError(f"not all relays had the state after {START:g} s")
+            raise DrillProcessError(f"not all relays had the state after {START:g} s")
         for process in range(shape.processes):
             self.hollow(f"hollow-{process}", range(process, shape.gateways, shape.processes))
         await self.everywhere(position, START)
@@ -257,7 +257,7 @@
                 self.ends[one] = End(Position(term, count), digest, brute)
 
     async def everywhere(self, position: Position, seconds: float) -> None:
-        """Until all hollow ones have it; raises RigError."""
+        """Until all hollow ones have it; raises DrillProcessError."""
         with trio.move_on_after(seconds):
             while True:
                 self.read()
@@ -265,10 +265,12 @@
                     return
                 for name in self.files:
                     if self.processes[name].poll() is not None:
-                        raise RigError(f"{name} ended: {self._last(name)}")
+                        raise DrillProcessError(f"{name} ended: {self._last(name)}")
                 await trio.sleep(0.1)
         late = [who for who, there in self.at.items() if there < position]
-        raise RigError(f"{len(late)} of {len(self.at)} not at {tuple(position)} after {seconds:g} s: {late[:5]}")
+        raise DrillProcessError(
+            f"{len(late)} of {len(self.at)} not at {tuple(position)} after {seconds:g} s: {late[:5]}"
+        )
 
     def _last(self, name: str) -> str:
         return (self.folder / f"{name}.log").read_text()[-400:]
@@ -324,7 +326,9 @@
     # What is done
 
     async def publish(self, change: generated_state.Change) -> Position:
-        """Until it is acknowledged; raises RigError where it is not. The one that comes upon a fault of the publisher's
+        """Until it is acknowledged; raises DrillProcessError where it is not.
+
+        The one that comes upon a fault of the publisher's
         also waits until that answers again."""
         verdict, failed, ms = None, None, 0
         async with trio.open_nursery() as nursery:
@@ -333,10 +337,10 @@
                 await trio.lowlevel.checkpoint()
             try:  # by itself, not inside the nursery's group
                 verdict, ms = await client.publish(self.operator.place, change.id, change.file, PATIENCE), now_ms()
-            except PublisherSilent as error:
+            except PublisherTimeoutError as error:
                 failed = error
         if failed is not None or verdict.position is None:
-            raise RigError(f"{change.id} was not taken: {failed or verdict.faults[:3]}")
+            raise DrillProcessError(f"{change.id} was not taken: {failed or verdict.faults[:3]}")
         self.acked.append(Acked(change.id, verdict.position, ms, change.rows))
         return verdict.position
 
@@ -356,7 +360,7 @@
         self.operator.mute = False
         await trio.sleep(fault.lasts)
         self.start(PUBLISHER)
-        with suppress(PublisherSilent):  # which the next change set tells
+        with suppress(PublisherTimeoutError):  # which the next change set tells
             await client.status(text(self.publisher), START)
 
     async def kill(self, name: str) -> None:
@@ -414,9 +418,9 @@
                 while not done.is_set() or self.doomed:
                     await self.publish(changes.some(4))
                     await trio.sleep(every)
-            except RigError as error:
+            except DrillProcessError as error:
                 failed = error
                 nursery.cancel_scope.cancel()
         if failed is not None:
-            raise RigError(str(failed))
+            raise DrillProcessError(str(failed))
         await self.everywhere(await self.publish(changes.some(4)), settled)
--- a/oakfork/lab/scale/module_driver.py
+++ b/oakfork/lab/scale/module_driver.py
@@ -15,9 +15,9 @@
 from pathlib import Path
 from typing import Any, Callable, Iterator
 
-from oakfork import interface as face, peer_codec as wire
-from oakfork.decision import Brain
-from oakfork.interface import SECOND, Method, Plan, Repeat, State, Status
+from oakfork import interface, peer_codec as wire
+from oakfork.decision import DecisionModule
+from oakfork.interface import SECOND, Method, Plan, RepeatSafety, ServerState, Status
 
 START = 3600 * SECOND
 GAP = 84  # from RPC to RPC: 119 a second, as 320,000 over 2,700 gateways
@@ -29,8 +29,8 @@
 SETTLED = 5 * SECOND  # longer than any timer of an RPC
 
 METHODS = (
-    Method(2 * SECOND, 4 * SECOND, Repeat.IDEMPOTENT, "all", 0, 1.0, 0.0, False),
-    Method(2 * SECOND, 4 * SECOND, Repeat.DEDUPLICATED, "all", 6 * SECOND, 2.0, 0.2, False),
+    Method(2 * SECOND, 4 * SECOND, RepeatSafety.IDEMPOTENT, "all", 0, 1.0, 0.0, False),
+    Method(2 * SECOND, 4 * SECOND, RepeatSafety.DEDUPLICATED, "all", 6 * SECOND, 2.0, 0.2, False),
 )
 PLAN = Plan(
     rate=20.0,
@@ -57,27 +57,27 @@
     connection_price: float = 0.02
 
 
-def birth(sizes: Sizes) -> face.Birth:
-    return face.Birth(
+def gateway_settings(sizes: Sizes) -> interface.GatewaySettings:
+    return interface.GatewaySettings(
         seed=SEED,
         index=0,
         gateways=sizes.peers + 1,
         zone=0,
         methods=METHODS,
         plans=(PLAN,) * sizes.plans,
-        mail_per_s=MAIL_PER_S,
-        most_units=2,
-        settles=False,
+        peer_frames_per_s=MAIL_PER_S,
+        max_units=2,
+        reports_true_units=False,
         peers=True,
         cancel=False,
         second_copies=True,
         retry_after=True,
         probing=True,
         max_call_outs=2,
-        asks_list=False,
-        list_patience=SECOND,
-        report_names=(),
-        report_how="off",
+        subscribes_to_list=False,
+        list_timeout=SECOND,
+        load_report_names=(),
+        load_report_mode="off",
         drain_grace=SECOND // 4,
         cold_share=0.25,
         cold_time=15 * SECOND,
@@ -85,16 +85,16 @@
         fall_time=2 * SECOND,
         probe_price=PROBE_PRICE,
         connection_price=sizes.connection_price,
-        idle_time=15 * SECOND,
+        idle_timeout=15 * SECOND,
     )
 
 
-def entry(server: int, up_since: int = 0) -> face.ServerEntry:
-    return face.ServerEntry(server, 1000 + server, server % 16, server % 3, State.READY, up_since, 1.0)
+def entry(server: int, up_since: int = 0) -> interface.ServerEntry:
+    return interface.ServerEntry(server, 1000 + server, server % 16, server % 3, ServerState.READY, up_since, 1.0)
 
 
-def whole_list(servers: int) -> face.ServerList:
-    return face.ServerList(True, False, tuple(entry(server) for server in range(servers)))
+def whole_list(servers: int) -> interface.ServerList:
+    return interface.ServerList(True, False, tuple(entry(server) for server in range(servers)))
 
 
 class Driven:
@@ -103,12 +103,12 @@
 
     def __init__(self, sizes: Sizes, kept: bool = False) -> None:
         self.sizes, self.now, self.count = sizes, START, 0
-        self.script: list[tuple[int, face.Event]] | None = [] if kept else None  # all that it was told, and when
-        self.queue: list[tuple[int, int, face.Event]] = []
+        self.script: list[tuple[int, interface.Event]] | None = [] if kept else None  # all that it was told, and when
+        self.queue: list[tuple[int, int, interface.Event]] = []
         self.order, self.wakes = itertools.count(), set[int]()
         self.life = 0  # the module's, as its frames say
         self.numbers = [0] * (sizes.peers + 1)  # of the last frame from each peer
-        self.module = Brain(birth(sizes), START)
+        self.module = DecisionModule(gateway_settings(sizes), START)
         self.list = whole_list(sizes.servers)
         self.handle(self.list)
         for peer in range(1, sizes.peers + 1):
@@ -121,7 +121,7 @@
                 self.handle(self.frame(1, *(item(customer & 0xFFFF, customer) for customer in customers)))
         self.until(self.now + SETTLED)
 
-    def handle(self, event: face.Event) -> None:
+    def handle(self, event: interface.Event) -> None:
         if self.script is not None:
             self.script.append((self.now, event))
         for command in self.module.handle(self.now, event):
@@ -131,7 +131,7 @@
         """Plays what is due up to a time, which then it is."""
         while self.queue and self.queue[0][0] <= time:
             self.now, _, event = heapq.heappop(self.queue)
-            if isinstance(event, face.TimeCame):
+            if isinstance(event, interface.TimerFired):
                 self.wakes.discard(self.now)
             self.handle(event)
         self.now = time
@@ -146,11 +146,13 @@
             self.until(self.now + GAP)
         return [*marks, len(self.script or ())]
 
-    def frame(self, peer: int, *items: wire.Item) -> face.PeerFrame:
+    def frame(self, peer: int, *items: wire.Item) -> interface.PeerFrame:
         """The peer's next frame, sent now."""
         self.numbers[peer] = number = (self.numbers[peer] + 1) & 0xFFFF
         packed = [wire.pack_item(item) for item in items]
-        return face.PeerFrame(peer, wire.pack(LIFE, self.life, number, self.now // 10, packed, version=wire.VERSION))
+        return interface.PeerFrame(
+            peer, wire.pack(LIFE, self.life, number, self.now // 10, packed, version=wire.VERSION)
+        )
 
     def _ask(self, serial: int, customer: int) -> wire.Ask:
         return wire.Ask(serial, customer, customer % self.sizes.plans, 1.0)
@@ -158,19 +160,19 @@
     def _release(self, serial: int, customer: int) -> wire.Release:
         return wire.Release(serial, customer)
 
-    def _later(self, after: int, event: face.Event) -> None:
+    def _later(self, after: int, event: interface.Event) -> None:
         heapq.heappush(self.queue, (self.now + after, next(self.order), event))
 
-    def _carry_out(self, command: face.Command) -> None:
+    def _carry_out(self, command: interface.Command) -> None:
         match command:
-            case face.Wake(token, after) if self.now + after not in self.wakes:  # the same again tells nothing
+            case interface.SetTimer(token, after) if self.now + after not in self.wakes:  # the same again tells nothing
                 self.wakes.add(self.now + after)
-                self._later(after, face.TimeCame(token))
-            case face.Send(rpc, server):
-                self._later(ANSWER, face.CallOutEnded(rpc, 0, server, ANSWER, Status.OK, True, 0.0, ()))
-            case face.Probe(server):
-                self._later(ANSWER, face.ProbeEnded(server, Status.OK, ANSWER, ()))
-            case face.Tell(peer, data):
+                self._later(after, interface.TimerFired(token))
+            case interface.SendCallOut(rpc, server):
+                self._later(ANSWER, interface.CallOutEnded(rpc, 0, server, ANSWER, Status.OK, True, 0.0, ()))
+            case interface.ProbeServer(server):
+                self._later(ANSWER, interface.ProbeEnded(server, Status.OK, ANSWER, ()))
+            case interface.SendPeerFrame(peer, data):
                 frame = wire.unpack(data)
                 self.life = frame.life
                 if asks := [item for item in frame.items if isinstance(item, wire.Ask)]:
@@ -180,7 +182,7 @@
         """An RPC whose customer has its bucket at that gateway: with a spread of one, its first is the owner."""
         method = self.count % len(METHODS)
         self.handle(
-            face.Arrival(
+            interface.RpcArrived(
                 self.count & 1023,
                 customer,
                 method,
@@ -213,7 +215,7 @@
 
     def server_changed(self) -> None:
         """Another process is ready in a server's place."""
-        self.handle(face.ServerList(False, False, (entry(self.count * 7919 % self.sizes.servers, self.now),)))
+        self.handle(interface.ServerList(False, False, (entry(self.count * 7919 % self.sizes.servers, self.now),)))
 
     def list_again(self) -> None:
         self.handle(self.list)
@@ -222,18 +224,18 @@
 class Replay:
     """Another module of the same birth that is told a script, step by step."""
 
-    def __init__(self, sizes: Sizes, script: list[tuple[int, face.Event]]) -> None:
-        self.told = itertools.starmap(Brain(birth(sizes), START).handle, script)
+    def __init__(self, sizes: Sizes, script: list[tuple[int, interface.Event]]) -> None:
+        self.told = itertools.starmap(DecisionModule(gateway_settings(sizes), START).handle, script)
 
     def advance(self, events: int) -> None:
         deque(itertools.islice(self.told, events), maxlen=0)
 
 
-def newborn(sizes: Sizes, first: face.ServerList) -> Brain:
+def newborn(sizes: Sizes, first: interface.ServerList) -> DecisionModule:
     """A module that has been told its first list."""
-    brain = Brain(birth(sizes), START)
-    brain.handle(START, first)
-    return brain
+    module = DecisionModule(gateway_settings(sizes), START)
+    module.handle(START, first)
+    return module
 
 
 @contextmanager
--- a/oakfork/lab/scale/peer_frames.py
+++ b/oakfork/lab/scale/peer_frames.py
@@ -11,9 +11,9 @@
 from dataclasses import dataclass
 from typing import Any, Callable, Sequence
 
-from oakfork import interface as face, peer_codec as wire
-from oakfork.decision import Brain
-from oakfork.interface import SECOND, State, Status
+from oakfork import interface, peer_codec as wire
+from oakfork.decision import DecisionModule
+from oakfork.interface import SECOND, ServerState, Status
 from oakfork.lab.datagram_relay import HEADERS
 from oakfork.lab.event_loop import Kind, Loop
 from oakfork.lab.scale.server_lists import ZONES
@@ -97,18 +97,20 @@
     def __init__(self, gateways: int, seed: int = 1, scripted: bool = False) -> None:
         self.gateways, self.seed, self.scripted = gateways, seed, scripted
         self.loop = Loop()
-        self.brains: dict[int, Brain] = {}
+        self.modules: dict[int, DecisionModule] = {}
         self.numbers = [0] * gateways  # frames sent by scripted peers
         self.sent, self.received = Traffic(), Traffic()
         self.asked = self.ok = self.not_sent_on = 0  # RPCs of gateway 0
 
     def start(self, index: int = 0) -> None:
         """Starts a gateway, or starts it anew: its earlier life's timers are void."""
-        again = index in self.brains
-        birth = read_settings((self.seed << 20) + 2 * index + again, settings(self.gateways, index))
-        self.brains[index] = Brain(birth, self.loop.now)
-        entries = tuple(face.ServerEntry(number, number, 0, 0, State.READY, 0, 1.0) for number in range(SERVERS))
-        self.handle(index, face.ServerList(True, False, entries))
+        again = index in self.modules
+        parsed = read_settings((self.seed << 20) + 2 * index + again, settings(self.gateways, index))
+        self.modules[index] = DecisionModule(parsed, self.loop.now)
+        entries = tuple(
+            interface.ServerEntry(number, number, 0, 0, ServerState.READY, 0, 1.0) for number in range(SERVERS)
+        )
+        self.handle(index, interface.ServerList(True, False, entries))
 
     def count_anew(self) -> None:
         self.sent, self.received = Traffic(), Traffic()
@@ -116,38 +118,38 @@
     def run(self, seconds: float) -> None:
         self.loop.run(self.loop.now + int(seconds * SECOND))
 
-    def handle(self, index: int, event: face.Event) -> None:
-        brain = self.brains[index]
-        for command in brain.handle(self.loop.now, event):
+    def handle(self, index: int, event: interface.Event) -> None:
+        module = self.modules[index]
+        for command in module.handle(self.loop.now, event):
             match command:
-                case face.Wake(token, after):
-                    self.loop.after(after, Kind.TIMER, self._timer, index, brain, token)
-                case face.Tell(peer, data):
+                case interface.SetTimer(token, after):
+                    self.loop.after(after, Kind.TIMER, self._timer, index, module, token)
+                case interface.SendPeerFrame(peer, data):
                     self._tell(index, peer, data)
-                case face.Send(rpc, server):
+                case interface.SendCallOut(rpc, server):
                     self.loop.after(LATENCY, Kind.ENDING, self._ended, index, rpc, server)
-                case face.PushBack() | face.Abort():
+                case interface.PushBack() | interface.Abort():
                     self.not_sent_on += 1
 
-    def _timer(self, index: int, brain: Brain, token: int) -> None:
-        if self.brains[index] is brain:
-            self.handle(index, face.TimeCame(token))
+    def _timer(self, index: int, module: DecisionModule, token: int) -> None:
+        if self.modules[index] is module:
+            self.handle(index, interface.TimerFired(token))
 
     def _ended(self, index: int, rpc: int, server: int) -> None:
         self.ok += 1
-        self.handle(index, face.CallOutEnded(rpc, 0, server, LATENCY, Status.OK, True, 0.0, ()))
+        self.handle(index, interface.CallOutEnded(rpc, 0, server, LATENCY, Status.OK, True, 0.0, ()))
 
     def _tell(self, sender: int, to: int, data: bytes) -> None:
         if sender == 0:
             self.sent.add(data)
-        if to in self.brains or self.scripted:
+        if to in self.modules or self.scripted:
             self.loop.after(DELAY, Kind.NEWS, self._arrive, sender, to, data)
 
     def _arrive(self, sender: int, to: int, data: bytes) -> None:
         if to == 0:
             self.received.add(data)
-        if to in self.brains:
-            self.handle(to, face.PeerFrame(sender, data))
+        if to in self.modules:
+            self.handle(to, interface.PeerFrame(sender, data))
             return
         frame = wire.unpack(data)
         answers = [wire.Answer(item.serial, 0) for item in frame.items if isinstance(item, wire.Ask)]
@@ -164,16 +166,16 @@
 
     # RPCs of gateway 0, and asks to it
 
-    def arrival(self, customer: int) -> face.Arrival:
-        method = self.brains[0].birth.methods[0]
-        return face.Arrival(self.asked, customer, 0, 0, 1.0, 0, self.gateways, method.deadline, False)
+    def arrival(self, customer: int) -> interface.RpcArrived:
+        method = self.modules[0].settings.methods[0]
+        return interface.RpcArrived(self.asked, customer, 0, 0, 1.0, 0, self.gateways, method.deadline, False)
 
     def ask(self, customer: int) -> None:
         self.asked += 1
         self.handle(0, self.arrival(customer))
 
     def serve(self, peer: int, serial: int, customer: int) -> None:
-        self._write(peer, 0, self.brains[0].links.life, [wire.Ask(serial & 0xFFFF, customer, 0, 1.0)])
+        self._write(peer, 0, self.modules[0].links.life, [wire.Ask(serial & 0xFFFF, customer, 0, 1.0)])
 
 
 def none_replies(gateways: int) -> Network:
@@ -201,7 +203,7 @@
     network.run(WINDOW)
     network.count_anew()
     ids = [dice.getrandbits(33) for _ in range(customers)]
-    owner, begun = network.brains[0].quotas.owner, network.loop.now
+    owner, begun = network.modules[0].quotas.owner, network.loop.now
     others = [one for one in ids if owner(network.arrival(one))[0]]
     own = [one for one in ids if not owner(network.arrival(one))[0]]
     for number in range(rate * seconds):
--- a/oakfork/lab/scale/process_costs.py
+++ b/oakfork/lab/scale/process_costs.py
@@ -13,7 +13,7 @@
 from socket import SOCK_DGRAM, SOCK_STREAM
 from typing import Any, Callable, Iterator, NamedTuple
 
-from oakfork.errors import RigError
+from oakfork.errors import DrillProcessError
 from oakfork.lab.port_allocator import free_places, text
 from oakfork.lab.scale.peer_frames import MAIL_PER_S, settings
 from oakfork.lab.scale.server_lists import rows
@@ -87,12 +87,13 @@
 
 
 def wait_ready(process: subprocess.Popen, listen: str, log: Path) -> None:
-    """Returns at the child's first 200 to GET /-/ready; raises RigError where it ends or is not ready within READY."""
+    """Returns at the child's first 200 to GET /-/ready; raises DrillProcessError where it
+    ends or is not ready within READY."""
     host, port = listen.split(":")
     until = time.monotonic() + READY
     while (left := until - time.monotonic()) > 0:
         if process.poll() is not None:
-            raise RigError(f"the gateway ended: {log.read_text()[-400:]}")
+            raise DrillProcessError(f"the gateway ended: {log.read_text()[-400:]}")
         with (
             suppress(OSError, http.client.HTTPException),
             closing(http.client.HTTPConnection(host, int(port), timeout=left)) as link,
@@ -101,7 +102,7 @@
             if link.getresponse().status == 200:
                 return
         time.sleep(ANEW)
-    raise RigError(f"the gateway was not ready within {READY:.0f} s: {log.read_text()[-400:]}")
+    raise DrillProcessError(f"the gateway was not ready within {READY:.0f} s: {log.read_text()[-400:]}")
 
 
 def processor_seconds(pid: int) -> float:
@@ -118,7 +119,7 @@
 
 
 def look(servers: int, gateways: int, settled: float = SETTLED) -> Seen:
-    """Starts one child, sees what it takes, ends it; raises RigError."""
+    """Starts one child, sees what it takes, ends it; raises DrillProcessError."""
     with tempfile.TemporaryDirectory() as name:
         path, told = Path(name) / "n0.json", configuration(servers, gateways)
         path.write_text(json.dumps(told))
@@ -131,7 +132,7 @@
 
 
 def measure(told: Callable[[str], None], small: bool = False) -> tuple[list[Measure], dict[str, Any]]:
-    """Sizes in turn, again for each value, so that a slow minute is not one size's alone; raises RigError."""
+    """Sizes in turn, again for each value, so that a slow minute is not one size's alone; raises DrillProcessError."""
     values, settled = (1, 0.1) if small else (VALUES, SETTLED)
     measures = []
     for by, sizes, held in (
--- a/oakfork/lab/scale/real_gateways.py
+++ b/oakfork/lab/scale/real_gateways.py
@@ -11,7 +11,7 @@
 import trio
 
 from oakfork.control.messages import Kind
-from oakfork.errors import RigError
+from oakfork.errors import DrillProcessError
 from oakfork.lab.port_allocator import text
 from oakfork.lab.scale import generated_state
 from oakfork.lab.scale.added_latency import DIRECT, WITH, WITHOUT, WORK, client_of, over, summed
@@ -82,10 +82,11 @@
     def __init__(self, fleet: Fleet, changes: generated_state.Changes, sizes: Sizes, seed: int) -> None:
         self.fleet, self.changes, self.sizes, self.dice = fleet, changes, sizes, random.Random(seed)
         self.published = 0  # times that change sets went out beside the load
-        self.failed: RigError | None = None
+        self.failed: DrillProcessError | None = None
 
     async def run(self) -> dict[str, Any]:
-        """What the client saw; raises RigError where the gateways do not start, or do not send where they are told."""
+        """What the client saw; raises DrillProcessError where
+        the gateways do not start, or do not send where they are told."""
         sizes = self.sizes
         with tempfile.TemporaryDirectory(prefix="oakfork-beside-") as folder, Parties(sizes.servers, WORK) as parties:
             own = Own(parties.addresses)
@@ -127,7 +128,9 @@
                     await play([listen], *self._load(self.sizes.warm), self.dice.getrandbits(32))
                     others = {row.server for rows in parties.served().values() for row in rows}
         if scope.cancelled_caught:
-            raise RigError(f"the gateways beside the fleet were not told their servers within {self.sizes.ready:g} s")
+            raise DrillProcessError(
+                f"the gateways beside the fleet were not told their servers within {self.sizes.ready:g} s"
+            )
 
     async def _blocks(self, tier: Tier, parties: Parties, own: Own) -> dict[str, list[Block]]:
         sizes, kinds = self.sizes, (DIRECT, WITH, WITHOUT)
@@ -141,7 +144,7 @@
                 blocks[kind].append(await play(targets, *self._load(sizes.block), self.dice.getrandbits(32)))
                 nursery.cancel_scope.cancel()
             if self.failed is not None:
-                raise RigError(str(self.failed)) from self.failed
+                raise DrillProcessError(str(self.failed)) from self.failed
             await self.fleet.everywhere(self.fleet.acked[-1].position, sizes.ready)
         return blocks
 
@@ -155,7 +158,7 @@
                         await self.fleet.publish(own.turn())
                     self.published += 1
                 await trio.sleep(self.sizes.every)
-        except RigError as error:  # told by itself, not inside the nursery's group
+        except DrillProcessError as error:  # told by itself, not inside the nursery's group
             self.failed = error
 
     def _figures(self, blocks: dict[str, list[Block]], parties: Parties) -> dict[str, Any]:
--- a/oakfork/lab/scale/slopes.py
+++ b/oakfork/lab/scale/slopes.py
@@ -14,7 +14,7 @@
 import numpy
 from scipy import stats
 
-from oakfork.errors import ScaleError
+from oakfork.errors import MeasurementError
 
 FEWEST = 4  # sizes of a measure
 BENT = 0.05  # a line that misses the mean at any size by more of the largest is no line
@@ -57,7 +57,9 @@
     def __post_init__(self) -> None:
         sizes = [size for size, _ in self.points]
         if len(sizes) < FEWEST or sizes != sorted(set(sizes)) or not all(values for _, values in self.points):
-            raise ScaleError(f"{self.name}: at least {FEWEST} sizes with a value each are needed, the smallest first")
+            raise MeasurementError(
+                f"{self.name}: at least {FEWEST} sizes with a value each are needed, the smallest first"
+            )
 
     def fit(self) -> Slope:
         sizes = numpy.array([size for size, values in self.points for _ in values], float)
--- a/oakfork/lab/scale/traced_gateway.py
+++ b/oakfork/lab/scale/traced_gateway.py
@@ -113,7 +113,7 @@
     def __init__(self) -> None:
         self.records: dict[bytes, Record] = {}
         self.missed = 0
-        self.door: Any = None  # of the keeper: leads from the module's index of an RPC to its exchange
+        self.index_table: Any = None  # of the keeper: leads from the module's index of an RPC to its exchange
         self.leg: ContextVar[Leg | None] = ContextVar("leg", default=None)
         self.asked: dict[tuple[int, int], Record] = {}  # owner, serial -> whose ask waits; emptied as it leaves
         self.owed: dict[tuple[int, int], int] = {}  # who asks, serial -> since when; emptied as it leaves
@@ -121,8 +121,8 @@
         self.answering: tuple[Record, int] | None = None  # with its status, until it is handed to the socket
 
     def of(self, index: int) -> Record | None:
-        ticket = self.door.tickets[index] if self.door else None
-        return getattr(ticket.true_id, "record", None) if ticket else None
+        rpc_entry = self.index_table.rpc_entries[index] if self.index_table else None
+        return getattr(rpc_entry.external_id, "record", None) if rpc_entry else None
 
     def lines(self) -> Iterator[str]:
         for record in self.records.values():
@@ -132,7 +132,7 @@
     def wraps(self) -> list[Wrapped]:
         """What is wrapped, and how."""
         from oakfork.decision.quotas import Quotas
-        from oakfork.decision.rpcs import Brain
+        from oakfork.decision.rpcs import DecisionModule
         from oakfork.sockets.client_connections import Client
         from oakfork.sockets.decision_loop import Keeper
         from oakfork.sockets.exchange import Exchange
@@ -147,7 +147,7 @@
             Wrapped(Quotas, "admit", self._waits(ADMISSION, PACE)),
             Wrapped(Peers, "tell", self._tell),
             Wrapped(Quotas, "received", self._received),
-            Wrapped(Brain, "_look", self._waits(DECISION, LOOK)),
+            Wrapped(DecisionModule, "_look", self._waits(DECISION, LOOK)),
             Wrapped(Keeper, "_send", self._send),
             Wrapped(Keeper, "_call_out", self._call_out),
             Wrapped(Servers, "_new", self._new),
@@ -194,7 +194,7 @@
 
     def _keeper_take(self, original: Callable) -> Callable:
         def take(keeper: Any, told: Any) -> None:
-            self.door = keeper.door
+            self.index_table = keeper.index_table
             if record := getattr(getattr(told, "exchange", None), "record", None):  # Came, Left, CallOutOver
                 record.to(DECISION)
             original(keeper, told)
@@ -264,10 +264,10 @@
         """Start: from the command to send until the first byte is about to be written, but for a new connection."""
 
         def send(keeper: Any, command: Any) -> None:
-            ticket = keeper.door.tickets[command.rpc]
-            out = ticket.out
+            rpc_entry = keeper.index_table.rpc_entries[command.rpc]
+            out = rpc_entry.open_call_outs
             original(keeper, command)
-            if ticket.out > out and (record := getattr(ticket.true_id, "record", None)):
+            if rpc_entry.open_call_outs > out and (record := getattr(rpc_entry.external_id, "record", None)):
                 record.to(START)
 
         return send
@@ -360,7 +360,7 @@
 def main() -> None:
     from oakfork import early_signals
 
-    early_signals.hold()
+    early_signals.install_handlers()
     path = os.environ.get(FILE)
     if not path:
         sys.exit(f"{FILE} names no file")
--- a/oakfork/lab/world.py
+++ b/oakfork/lab/world.py
@@ -4,7 +4,7 @@
 
 import numpy
 
-from oakfork import interface as face
+from oakfork import interface
 from oakfork.interface import SECOND, Status
 from oakfork.lab.customers import Crowd
 from oakfork.lab.environment import CallOut, Decide, Exchange
@@ -27,7 +27,7 @@
         self.totals: dict[int, float] = {}  # as many as names; those not kept any more are dropped
         self.kept: dict[int, int] = {}
 
-    def call(self, gateway: Gateway, call: face.Count) -> None:
+    def call(self, gateway: Gateway, call: interface.AddToCounter) -> None:
         plan, loop = self.world.plan.counter, self.world.loop
         self.world.tally.add("counter calls", loop.now)
         if self.up:
@@ -35,19 +35,19 @@
         else:
             loop.after(plan.patience, Kind.ENDING, self._answer, gateway, call, Status.TIMED_OUT, 0.0, gateway.life)
 
-    def _add(self, gateway: Gateway, call: face.Count, life: int) -> None:
+    def _add(self, gateway: Gateway, call: interface.AddToCounter, life: int) -> None:
         now = self.world.loop.now
         if self.kept.get(call.name, 0) <= now:
             for name in [name for name, until in self.kept.items() if until <= now]:
                 del self.kept[name], self.totals[name]
-            self.kept[call.name], self.totals[call.name] = now + call.kept_for, 0.0
+            self.kept[call.name], self.totals[call.name] = now + call.ttl, 0.0
         self.totals[call.name] += call.amount
         wait = self.world.plan.counter.takes - self.world.plan.counter.takes // 2
         self.world.loop.after(wait, Kind.ENDING, self._answer, gateway, call, Status.OK, self.totals[call.name], life)
 
-    def _answer(self, gateway: Gateway, call: face.Count, status: Status, total: float, life: int) -> None:
+    def _answer(self, gateway: Gateway, call: interface.AddToCounter, status: Status, total: float, life: int) -> None:
         if gateway.up and gateway.life == life:
-            gateway.handle(face.CounterAnswered(status, total, call.name))
+            gateway.handle(interface.CounterReplied(status, total, call.name))
 
 
 class World:
@@ -94,36 +94,40 @@
         )
         return server
 
-    def birth(self, index: int, zone: int) -> face.Birth:
+    def gateway_settings(self, index: int, zone: int) -> interface.GatewaySettings:
         plan, links = self.plan, self.plan.links
         methods = tuple(
-            face.Method(m.soft_deadline, m.deadline, m.repeat, m.group, m.remembered, m.utility, m.late_utility, False)
+            interface.Method(
+                m.soft_deadline, m.deadline, m.repeat, m.group, m.deduplication_time, m.utility, m.late_utility, False
+            )
             for m in plan.methods
         )
         plans = tuple(
-            face.Plan(p.rate, p.burst, 0, p.ceiling_rate, p.ceiling_burst, p.ceiling_slack, p.price, 0.0, p.beyond_cost)
+            interface.Plan(
+                p.rate, p.burst, 0, p.ceiling_rate, p.ceiling_burst, p.ceiling_slack, p.price, 0.0, p.beyond_cost
+            )
             for p in plan.plans
         )
-        return face.Birth(
+        return interface.GatewaySettings(
             seed=int(self.chance("births").integers(1 << 63)),
             index=index,
             gateways=plan.gateways,
             zone=zone,
             methods=methods,
             plans=plans,
-            mail_per_s=links.mail_per_s,
-            most_units=1,
-            settles=False,
+            peer_frames_per_s=links.peer_frames_per_s,
+            max_units=1,
+            reports_true_units=False,
             peers=True,
             cancel=True,
             second_copies=plan.second_copies,
             retry_after=plan.retry_after,
             probing=plan.probing,
             max_call_outs=plan.max_call_outs,
-            asks_list=False,
-            list_patience=SECOND,
-            report_names=(),
-            report_how="off",
+            subscribes_to_list=False,
+            list_timeout=SECOND,
+            load_report_names=(),
+            load_report_mode="off",
             drain_grace=plan.drain_grace,
             cold_share=plan.servers.cold_share,
             cold_time=plan.servers.cold_time,
@@ -131,7 +135,7 @@
             fall_time=plan.servers.fall_time,
             probe_price=plan.probe_price,
             connection_price=plan.connection_price,
-            idle_time=links.idle,
+            idle_timeout=links.idle,
         )
 
     def run(self) -> dict[str, Any]:
@@ -240,7 +244,7 @@
     def probe(self, gateway: Gateway, index: int) -> None:
         now, loop = self.loop.now, self.loop
         self.tally.add("probes", now)
-        server = gateway.list[gateway.door.server_ids[index]]
+        server = gateway.list[gateway.index_table.server_ids[index]]
         number, life = server.number, gateway.life
         fresh = gateway.connection(server)
         there = self.distance(gateway.zone, server.zone) + (self.plan.links.handshake if fresh else 0)
@@ -257,11 +261,11 @@
                 server.connections += fresh
 
         def told() -> None:
-            if gateway.up and gateway.life == life and number in gateway.door.servers:
+            if gateway.up and gateway.life == life and number in gateway.index_table.servers:
                 if status == Status.OK and server.up:
                     gateway.idle.setdefault(number, []).append(loop.now)
-                known = gateway.door.servers[number]
-                gateway.handle(face.ProbeEnded(known, status, loop.now - now, ()))
+                known = gateway.index_table.servers[number]
+                gateway.handle(interface.ProbeEnded(known, status, loop.now - now, ()))
 
         loop.after(max(1, took), Kind.ENDING, told)
 
--- a/oakfork/lab/world_config.py
+++ b/oakfork/lab/world_config.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass, field
 
-from oakfork.interface import Repeat
+from oakfork.interface import RepeatSafety
 
 
 @dataclass(frozen=True, slots=True)
@@ -13,9 +13,9 @@
     spread: str  # how work is distributed: exponential, fixed or lognormal
     soft_deadline: int
     deadline: int
-    repeat: Repeat
+    repeat: RepeatSafety
     group: str
-    remembered: int
+    deduplication_time: int
     utility: float
     late_utility: float
 
@@ -65,7 +65,7 @@
     peer: int  # mean; exponential above half of it
     zone: int  # beside those, between zones
     peer_loss: float
-    mail_per_s: float
+    peer_frames_per_s: float
     handshake: int  # a new connection takes so long
     idle: int  # and lasts for so long unused
     connect_patience: int
--- a/oakfork/serving.py
+++ b/oakfork/serving.py
@@ -8,7 +8,7 @@
 import trio
 
 from oakfork import early_signals
-from oakfork.errors import ConfigurationError, lines
+from oakfork.errors import ConfigurationError, error_lines
 from oakfork.sockets import configuration, gateway
 
 
@@ -27,10 +27,10 @@
     try:
         here = configuration.read(os.environ)
     except ConfigurationError as error:
-        sys.exit("\n".join(f"oakfork: {line}" for line in lines(error, faults=_faults()).splitlines()))
+        sys.exit("\n".join(f"oakfork: {line}" for line in error_lines(error, faults=_faults()).splitlines()))
     # What is loaded stays: no collection need look at it again. The rest is collected a tenth as often as by default:
     # an RPC leaves few cycles behind.
     gc.freeze()
     gc.set_threshold(7_000, 10, 10)
     trio.run(gateway.run, here)
-    early_signals.done()
+    early_signals.ignore_signals()
--- a/oakfork/settings.py
+++ b/oakfork/settings.py
@@ -1,24 +1,24 @@
 """The settings that a gateway is born with, in the project's words. No decision is taken here."""
 
-from oakfork.interface import SECOND, Birth, Method, Plan, Repeat
+from oakfork.interface import SECOND, GatewaySettings, Method, Plan, RepeatSafety
 
 
 def tenths(milliseconds: float) -> int:
     return round(milliseconds * 10)
 
 
-def read_settings(seed: int, info: dict) -> Birth:
+def read_settings(seed: int, info: dict) -> GatewaySettings:
     """Unknown keys are ignored, missing ones take a harmless value."""
     limits, rules = info.get("limits", {}), info.get("invariants", {})
     specifics, stats, prices = info.get("specifics", {}), info.get("stats", {}), info.get("tariffs", {})
-    repeats = {"read_like": Repeat.IDEMPOTENT, "idempotency_key": Repeat.DEDUPLICATED}
+    repeats = {"read_like": RepeatSafety.IDEMPOTENT, "idempotency_key": RepeatSafety.DEDUPLICATED}
     methods = tuple(
         Method(
             soft_deadline=tenths(row["aim-ms"]),
             deadline=tenths(row["deadline-ms"]),
-            repeat=repeats.get(row.get("effect"), Repeat.NON_IDEMPOTENT),
+            repeat=repeats.get(row.get("effect"), RepeatSafety.NON_IDEMPOTENT),
             group=row.get("group", "all"),
-            remembered=tenths(row.get("key-ttl-ms", 0)),
+            deduplication_time=tenths(row.get("key-ttl-ms", 0)),
             utility=row.get("value", 1.0),
             late_utility=row.get("late-worth", 0.0),
             streamed=bool(row.get("streamed", False)),
@@ -39,26 +39,26 @@
         )
         for row in info.get("tiers-of-service", ())
     )
-    return Birth(
+    return GatewaySettings(
         seed=seed,
         index=int(info.get("index", 0)),
         gateways=int(info.get("balancers", 1)),
         zone=int(info.get("zone", 0)),
         methods=methods,
         plans=plans,
-        mail_per_s=specifics.get("mail-per-s", 0.0),
-        most_units=specifics.get("units-top", 1),
-        settles=bool(specifics.get("settles", False)),
+        peer_frames_per_s=specifics.get("mail-per-s", 0.0),
+        max_units=specifics.get("units-top", 1),
+        reports_true_units=bool(specifics.get("settles", False)),
         peers=bool(limits.get("peers", False)),
         cancel=bool(limits.get("cancel", False)),
         second_copies=bool(limits.get("parallel-tries", False)),
         retry_after=bool(limits.get("retry-after", False)),
         probing=bool(limits.get("probing", False)),
         max_call_outs=int(limits.get("attempts-cap", 1)),
-        asks_list=info.get("discovery") == "subscribe",
-        list_patience=tenths(rules.get("ask-within-ms", 0)) or SECOND,
-        report_names=tuple(stats.get("names", ())),
-        report_how=stats.get("how", "off"),
+        subscribes_to_list=info.get("discovery") == "subscribe",
+        list_timeout=tenths(rules.get("ask-within-ms", 0)) or SECOND,
+        load_report_names=tuple(stats.get("names", ())),
+        load_report_mode=stats.get("how", "off"),
         drain_grace=tenths(rules.get("stop-sending-within-ms", 0)),
         cold_share=rules.get("cold-share", 1.0),
         cold_time=tenths(rules.get("cold-ms", 0)),
@@ -66,5 +66,5 @@
         fall_time=tenths(rules.get("fall-ms", 0)),
         probe_price=float(prices.get("probe", 0.0)),
         connection_price=float(prices.get("handshake", 0.0)),
-        idle_time=tenths(limits.get("conn-idle-ms", 0)),
+        idle_timeout=tenths(limits.get("conn-idle-ms", 0)),
     )
--- a/oakfork/simulator_adapter/__main__.py
+++ b/oakfork/simulator_adapter/__main__.py
@@ -1,10 +1,10 @@
 import sys
 
-from oakfork.errors import WireError
+from oakfork.errors import SimulatorProtocolError
 from oakfork.simulator_adapter.host import serve
 
 if __name__ == "__main__":
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
-    except WireError as error:
+    except SimulatorProtocolError as error:
         sys.exit(f"wirehost: {error}; {error.todo}")
--- a/oakfork/simulator_adapter/codec.py
+++ b/oakfork/simulator_adapter/codec.py
@@ -4,8 +4,8 @@
 import struct
 from typing import BinaryIO, Iterator, NamedTuple
 
-from oakfork.errors import WireError
-from oakfork.interface import Birth
+from oakfork.errors import SimulatorProtocolError
+from oakfork.interface import GatewaySettings
 from oakfork.settings import read_settings, tenths
 
 BATCH_HEADER = struct.Struct("<IdI")
@@ -47,13 +47,13 @@
     if not header:
         return None
     if len(header) < BATCH_HEADER.size:
-        raise WireError(f"truncated header: {len(header)} of {BATCH_HEADER.size} bytes")
+        raise SimulatorProtocolError(f"truncated header: {len(header)} of {BATCH_HEADER.size} bytes")
     length, clock, count = BATCH_HEADER.unpack(header)
     body = stream.read(length)
     if len(body) < length:
-        raise WireError(f"truncated frame: {len(body)} of {length} bytes")
+        raise SimulatorProtocolError(f"truncated frame: {len(body)} of {length} bytes")
     if clock != clock or abs(clock) > 1e15:
-        raise WireError(f"malformed frame: the clock is {clock}")
+        raise SimulatorProtocolError(f"malformed frame: the clock is {clock}")
     return tenths(clock), list(_records(body, count))
 
 
@@ -61,34 +61,34 @@
     at = 0
     for number in range(count):
         if at >= len(body):
-            raise WireError(f"malformed frame: record {number} of {count} missing at byte {at}")
+            raise SimulatorProtocolError(f"malformed frame: record {number} of {count} missing at byte {at}")
         code = body[at]
         if code not in EVENTS:
-            raise WireError(f"malformed frame: unknown event code {code} at byte {at}")
+            raise SimulatorProtocolError(f"malformed frame: unknown event code {code} at byte {at}")
         name, layout = EVENTS[code]
         end = at + 1 + layout.size
         if end > len(body):
-            raise WireError(f"malformed frame: {name} at byte {at} runs past the end")
+            raise SimulatorProtocolError(f"malformed frame: {name} at byte {at} runs past the end")
         values = layout.unpack_from(body, at + 1)
         extra = values[-1] * COUNTED[code] if code in COUNTED else 0
         if end + extra > len(body):
-            raise WireError(f"malformed frame: {name} at byte {at} runs past the end")
+            raise SimulatorProtocolError(f"malformed frame: {name} at byte {at} runs past the end")
         yield Record(code, values, body[end : end + extra])
         at = end + extra
     if at != len(body):
-        raise WireError(f"malformed frame: {len(body) - at} bytes left over at byte {at}")
+        raise SimulatorProtocolError(f"malformed frame: {len(body) - at} bytes left over at byte {at}")
 
 
 def floats(tail: bytes) -> tuple[float, ...]:
     return struct.unpack(f"<{len(tail) // 4}f", tail)
 
 
-def read_birth(seed: int, text: bytes) -> Birth:
+def parse_settings(seed: int, text: bytes) -> GatewaySettings:
     """The settings in the project's words; unknown keys are ignored, missing ones take a harmless value."""
     try:
         return read_settings(seed, json.loads(text))
     except (ValueError, TypeError, AttributeError, KeyError) as error:
-        raise WireError(f"malformed frame: boot-info is not usable: {error!r}") from error
+        raise SimulatorProtocolError(f"malformed frame: boot-info is not usable: {error!r}") from error
 
 
 def _action(code: int, layout: str):
--- a/oakfork/simulator_adapter/host.py
+++ b/oakfork/simulator_adapter/host.py
@@ -3,138 +3,143 @@
 import traceback
 from typing import BinaryIO, Callable
 
-from oakfork import interface as face
-from oakfork.decision import Brain
-from oakfork.errors import CommandUnknown, WireError
-from oakfork.index_table import Door
+from oakfork import interface
+from oakfork.decision import DecisionModule
+from oakfork.errors import SimulatorProtocolError, UnknownCommandError
+from oakfork.index_table import IndexTable
 from oakfork.simulator_adapter import codec
 
-Decider = Callable[[face.Birth, int], Brain]
+Decider = Callable[[interface.GatewaySettings, int], DecisionModule]
 
 
 class Instance:
     """One gateway: the module and its door."""
 
-    def __init__(self, birth: face.Birth, now: int, decider: Decider) -> None:
-        self.brain = decider(birth, now)
-        self.door: Door[int, bytes] = Door()
+    def __init__(self, settings: interface.GatewaySettings, now: int, decider: Decider) -> None:
+        self.module = decider(settings, now)
+        self.index_table: IndexTable[int, bytes] = IndexTable()
 
-    def event(self, record: codec.Record, entries: bytes) -> tuple[face.Event | None, int | None]:
+    def event(self, record: codec.Record, entries: bytes) -> tuple[interface.Event | None, int | None]:
         """The record as an event of the module, and the RPC it speaks of; None for what is already over."""
         code, values = record.code, record.values
         if code == codec.DISCOVERY:
-            return face.ServerList(values[0] in (1, 2), values[0] == 3, self.entries(entries)), None
+            return interface.ServerList(values[0] in (1, 2), values[0] == 3, self.entries(entries)), None
         if code == codec.ACCEPT:
-            true_id, customer, flags, first, left, spread, method, plan, units = values
-            index = self.door.admit(true_id)
-            return face.Arrival(
+            external_id, customer, flags, first, left, spread, method, plan, units = values
+            index = self.index_table.add_rpc(external_id)
+            return interface.RpcArrived(
                 index, customer, method, plan, units, int(first), int(spread), codec.tenths(left), bool(flags & 2)
             ), index
         if code == codec.TIMEOUT_FIRED:
-            return face.TimeCame(values[0]), None
+            return interface.TimerFired(values[0]), None
         if code == codec.MESSAGE:
-            return face.PeerFrame(values[0], record.tail), None
+            return interface.PeerFrame(values[0], record.tail), None
         if code == codec.COUNTER_REPLY:
-            return face.CounterAnswered(face.Status(values[0]), values[1], values[2]), None
+            return interface.CounterReplied(interface.Status(values[0]), values[1], values[2]), None
         if code == codec.CHECK_RESULT:
             address, status, elapsed, _ = values
-            return face.ProbeEnded(
-                self.door.server(address), face.Status(status), codec.tenths(elapsed), codec.floats(record.tail)
+            return interface.ProbeEnded(
+                self.index_table.server_index(address),
+                interface.Status(status),
+                codec.tenths(elapsed),
+                codec.floats(record.tail),
             ), None
-        index = self.door.rpcs.get(values[0])
-        ticket = None if index is None else self.door.tickets[index]
-        if ticket is None:
+        index = self.index_table.rpcs.get(values[0])
+        rpc_entry = None if index is None else self.index_table.rpc_entries[index]
+        if rpc_entry is None:
             return None, None
         if code == codec.EXPIRED:
-            was_over, ticket.over = ticket.over, True
-            return (None if was_over else face.ClientGone(index)), index
+            was_over, rpc_entry.answered = rpc_entry.answered, True
+            return (None if was_over else interface.ClientDisconnected(index)), index
         if code == codec.ESTABLISHED:
-            return face.StreamStarted(index, values[3]), index
+            return interface.StreamStarted(index, values[3]), index
         _, call_out, address, elapsed, true_units, status, final, _, _ = values
-        ticket.out -= 1
-        ticket.over |= bool(final)
-        return face.CallOutEnded(
+        rpc_entry.open_call_outs -= 1
+        rpc_entry.answered |= bool(final)
+        return interface.CallOutEnded(
             index,
             call_out,
-            self.door.server(address),
+            self.index_table.server_index(address),
             codec.tenths(elapsed),
-            face.Status(status),
+            interface.Status(status),
             bool(final),
             true_units,
             codec.floats(record.tail),
         ), index
 
-    def entries(self, data: bytes) -> tuple[face.ServerEntry, ...]:
+    def entries(self, data: bytes) -> tuple[interface.ServerEntry, ...]:
         return tuple(
-            face.ServerEntry(
-                self.door.server(address),
+            interface.ServerEntry(
+                self.index_table.server_index(address),
                 int.from_bytes(address, "big"),
                 zone,
                 cell,
-                face.State(state),
+                interface.ServerState(state),
                 codec.tenths(up_since),
                 weight,
             )
             for zone, _, address, cell, state, up_since, weight in codec.ENTRY.iter_unpack(data)
         )
 
-    def action(self, now: int, command: face.Command) -> bytes:
+    def action(self, now: int, command: interface.Command) -> bytes:
         match command:
-            case face.Send(rpc, server, until, _):
-                self.door.tickets[rpc].out += 1
-                return codec.transmit(self.door.tickets[rpc].true_id, self.door.server_ids[server], until / 10)
-            case face.PushBack(rpc, retry_after):
-                self.door.tickets[rpc].over = True
-                return codec.deny(self.door.tickets[rpc].true_id, retry_after / 10)
-            case face.Abort(rpc):
-                self.door.tickets[rpc].over = True
-                return codec.abort(self.door.tickets[rpc].true_id)
-            case face.Cancel(rpc, call_out):
-                return codec.retract(self.door.tickets[rpc].true_id, call_out)
-            case face.Recall():  # on this wire a call-out begins in the instant in which it is decided
+            case interface.SendCallOut(rpc, server, until, _):
+                self.index_table.rpc_entries[rpc].open_call_outs += 1
+                return codec.transmit(
+                    self.index_table.rpc_entries[rpc].external_id, self.index_table.server_ids[server], until / 10
+                )
+            case interface.PushBack(rpc, retry_after):
+                self.index_table.rpc_entries[rpc].answered = True
+                return codec.deny(self.index_table.rpc_entries[rpc].external_id, retry_after / 10)
+            case interface.Abort(rpc):
+                self.index_table.rpc_entries[rpc].answered = True
+                return codec.abort(self.index_table.rpc_entries[rpc].external_id)
+            case interface.CancelCallOut(rpc, call_out):
+                return codec.retract(self.index_table.rpc_entries[rpc].external_id, call_out)
+            case interface.CancelIfUnsent():  # on this wire a call-out begins in the instant in which it is decided
                 return b""
-            case face.Wake(token, after):
+            case interface.SetTimer(token, after):
                 return codec.remind(token, after / 10)
-            case face.Probe(server):
-                return codec.check(self.door.server_ids[server])
-            case face.Tell(peer, data):
+            case interface.ProbeServer(server):
+                return codec.check(self.index_table.server_ids[server])
+            case interface.SendPeerFrame(peer, data):
                 return codec.signal(peer, data)
-            case face.Subscribe(on):
+            case interface.SubscribeToList(on):
                 return codec.tail(on)
-            case face.ReadList():
+            case interface.ReadServerList():
                 return codec.read_list()
-            case face.CloseIdle(server):
-                return codec.disconnect(self.door.server_ids[server])
-            case face.Forget(server):
-                self.door.forget(server)
+            case interface.CloseIdleConnections(server):
+                return codec.disconnect(self.index_table.server_ids[server])
+            case interface.ForgetServer(server):
+                self.index_table.forget_server(server)
                 return b""
-            case face.Count(name, amount, kept_for):
-                return codec.enter(name, amount, kept_for / 10)
-            case face.Note(text):
+            case interface.AddToCounter(name, amount, ttl):
+                return codec.enter(name, amount, ttl / 10)
+            case interface.WriteLog(text):
                 return codec.note_down(text)
-        raise CommandUnknown(f"no such command: {command!r}")
+        raise UnknownCommandError(f"no such command: {command!r}")
 
     def handle(self, now: int, record: codec.Record, entries: bytes) -> bytes:
         try:
             event, index = self.event(record, entries)
         except (ValueError, OverflowError) as error:
-            raise WireError(f"malformed frame: {codec.EVENTS[record.code][0]}: {error}") from error
-        commands = () if event is None else self.brain.handle(now, event)
+            raise SimulatorProtocolError(f"malformed frame: {codec.EVENTS[record.code][0]}: {error}") from error
+        commands = () if event is None else self.module.handle(now, event)
         actions = []
         touched = set() if index is None else {index}
         for command in commands:
             actions.append(self.action(now, command))
-            if isinstance(command, (face.PushBack, face.Abort)):
+            if isinstance(command, (interface.PushBack, interface.Abort)):
                 touched.add(command.rpc)
         for rpc in sorted(touched):
-            self.door.settle(rpc)
+            self.index_table.release_rpc(rpc)
         return b"".join(actions)
 
 
 class Host:
     """All instances of one process and the numbered server lists, which belong to the process."""
 
-    def __init__(self, decider: Decider = Brain) -> None:
+    def __init__(self, decider: Decider = DecisionModule) -> None:
         self.decider = decider
         self.instances: dict[int, Instance] = {}
         self.lists: dict[int, bytes] = {}
@@ -147,13 +152,13 @@
             elif record.code == codec.MANIFEST:
                 self.lists[record.values[0]] = record.tail
             elif current is None:
-                raise WireError(f"malformed frame: event code {record.code} before any Context")
+                raise SimulatorProtocolError(f"malformed frame: event code {record.code} before any Context")
             elif record.code == codec.EXIT:
                 self.instances.pop(current, None)
             else:
                 try:
                     actions = self.deliver(now, current, record)
-                except WireError:
+                except SimulatorProtocolError:
                     raise
                 except Exception as error:  # the module failed: the wire has a word for it
                     where = traceback.extract_tb(error.__traceback__)[-1]
@@ -167,16 +172,18 @@
 
     def deliver(self, now: int, current: int, record: codec.Record) -> bytes:
         if record.code == codec.LAUNCH:
-            birth = codec.read_birth(record.values[0], record.tail)
-            self.instances[current] = Instance(birth, now, self.decider)
+            settings = codec.parse_settings(record.values[0], record.tail)
+            self.instances[current] = Instance(settings, now, self.decider)
             return b""
         instance = self.instances.get(current)
         if instance is None:
-            raise WireError(f"malformed frame: event code {record.code} for instance {current}, not launched")
+            raise SimulatorProtocolError(
+                f"malformed frame: event code {record.code} for instance {current}, not launched"
+            )
         entries = b""
         if record.code == codec.DISCOVERY and record.values[0] != 3:
             if record.values[2] not in self.lists:
-                raise WireError(f"malformed frame: list {record.values[2]} was never declared")
+                raise SimulatorProtocolError(f"malformed frame: list {record.values[2]} was never declared")
             entries = self.lists[record.values[2]]
         return instance.handle(now, record, entries)
 
--- a/oakfork/sockets/client_connections.py
+++ b/oakfork/sockets/client_connections.py
@@ -10,7 +10,7 @@
 import trio
 from structlog.stdlib import BoundLogger
 
-from oakfork.errors import BadRequest, Break
+from oakfork.errors import BadRequestError, ConnectionFailedError
 from oakfork.sockets.configuration import Surroundings
 from oakfork.sockets.exchange import Answer, Exchange
 from oakfork.sockets.http_connection import LARGEST_BODY, Link, Message
@@ -170,7 +170,7 @@
                     gone = True
                 if not gone and (self.scope.deadline > trio.current_time() or not self._last_look()):
                     break
-        except Break:
+        except ConnectionFailedError:
             gone = True
         finally:
             self.all.idle.pop(self, None)
@@ -227,7 +227,7 @@
         self.link.end_sending()
         self.scope = trio.CancelScope(deadline=trio.current_time() + LINGERING)
         self.all.lingering[self] = None
-        with self.scope, contextlib.suppress(Break):
+        with self.scope, contextlib.suppress(ConnectionFailedError):
             while await self.link.discard(LULL):
                 pass
 
@@ -250,7 +250,7 @@
                 if self.scope.deadline != float("inf"):
                     self.scope.deadline = float("inf")
                 self._take(message)
-        except Break as end:
+        except ConnectionFailedError as end:
             if end.ending in PLAIN_STATUS:
                 self._write(Answer(PLAIN_STATUS[end.ending]))
             self.scope.cancel()
@@ -272,8 +272,8 @@
             self._write(Answer(404))
         else:
             try:
-                exchange = Exchange(message, self.all.here.names, self.all.here.birth, self._answer)
-            except BadRequest as error:
+                exchange = Exchange(message, self.all.here.names, self.all.here.settings, self._answer)
+            except BadRequestError as error:
                 # Guards against bad requests by the hundred: one is answered, what stands behind it is never read.
                 self._write(Answer(400, str(error).encode() + b"\n", b"text/plain", last=True))
                 return
@@ -296,7 +296,7 @@
             self._write(answer)
             if self.link.buffered and not self.behind:  # the next request came before this answer
                 self._go_on()
-        except Break:
+        except ConnectionFailedError:
             self.scope.cancel()
 
     def _write(self, answer: Answer) -> None:
@@ -327,14 +327,14 @@
         with trio.CancelScope(deadline=trio.current_time() + self.all.here.longest_deadline) as scope:
             try:
                 await self.link.drain(left)
-            except (Break, OSError, trio.ClosedResourceError):
+            except (ConnectionFailedError, OSError, trio.ClosedResourceError):
                 last = True
         self.behind = False
         self.caught_up.set()
         if last or scope.cancelled_caught or self.all.leaving:
             self.scope.cancel()
         elif self.link.buffered:
-            with contextlib.suppress(Break):
+            with contextlib.suppress(ConnectionFailedError):
                 self._go_on()
         else:
             self.all.idle[self] = trio.current_time()
--- a/oakfork/sockets/configuration.py
+++ b/oakfork/sockets/configuration.py
@@ -1,11 +1,11 @@
-"""What the operators tell a gateway when it starts: where the others are, and the module's Birth."""
+"""What the operators tell a gateway when it starts: where the others are, and the module's GatewaySettings."""
 
 import json
 from dataclasses import dataclass
 from typing import Any, Callable, Mapping, TypeVar
 
 from oakfork.errors import ConfigurationError
-from oakfork.interface import Birth
+from oakfork.interface import GatewaySettings
 from oakfork.settings import read_settings, tenths
 
 Address = tuple[str, int]
@@ -41,7 +41,7 @@
     tick: int  # tenths of a millisecond: the module's timers need not be finer
     known: Mapping[str, Any]
     names: Names
-    birth: Birth
+    settings: GatewaySettings
 
 
 def address(text: str) -> Address:
@@ -84,7 +84,7 @@
     limits, specifics, known = info.get("limits", {}), info.get("specifics", {}), told.get("known", {})
     if not isinstance(known, dict):
         raise ConfigurationError(f"not a list of servers: {known!r:.100}")
-    birth = read_settings(int(told.get("seed", "0"), 16), info)
+    settings = read_settings(int(told.get("seed", "0"), 16), info)
 
     def numbered(rows: list, key: str | None = None) -> dict[str, int]:
         return {(row[key] if key else row): number for number, row in enumerate(rows)}
@@ -97,7 +97,7 @@
         listen=address(told["listen"]),
         discovery=address(told["discovery"]),
         counter=_place(told, "counter") if specifics.get("shared-counter") else None,
-        peer_listen=_place(told, "peer_listen") if birth.peers else None,
+        peer_listen=_place(told, "peer_listen") if settings.peers else None,
         peers=tuple(address(text) for text in told.get("peers", ())),
         peers_all=_place(told, "peers_all"),
         sockets=int(told.get("limits", {}).get("sockets", 1024)),
@@ -105,7 +105,7 @@
         connect_patience=limits.get("connect-timeout-ms", 250.0) / 1000,
         idle_patience=limits.get("conn-idle-ms", 15_000.0) / 1000,
         count_patience=specifics.get("count-limit-ms", 50.0) / 1000,
-        longest_deadline=max((method.deadline for method in birth.methods), default=0) / 10_000,
+        longest_deadline=max((method.deadline for method in settings.methods), default=0) / 10_000,
         tick=tenths(info.get("tick-ms", 1.0)),
         known=known,
         names=Names(
@@ -113,5 +113,5 @@
             encoded(numbered(info.get("tiers-of-service", ()), "name")),
             numbered(info.get("zones", ())),
         ),
-        birth=birth,
+        settings=settings,
     )
--- a/oakfork/sockets/counter_client.py
+++ b/oakfork/sockets/counter_client.py
@@ -5,8 +5,8 @@
 
 import trio
 
-from oakfork import interface as face
-from oakfork.errors import Break
+from oakfork import interface
+from oakfork.errors import ConnectionFailedError
 from oakfork.sockets.configuration import Address, Surroundings
 from oakfork.sockets.http_connection import Link, Message, connect, plain
 from oakfork.sockets.messages import Told, tell
@@ -22,10 +22,10 @@
         self.here, self.queue = here, queue
         self.address = here.counter
         self.turned = False  # the connection leads to where the counter was
-        self.calls: deque[tuple[face.Count, float]] = deque()  # emptied by run, or after the patience
+        self.calls: deque[tuple[interface.AddToCounter, float]] = deque()  # emptied by run, or after the patience
         self.more = trio.Event()
 
-    def count(self, call: face.Count) -> bool:
+    def count(self, call: interface.AddToCounter) -> bool:
         if len(self.calls) >= MOST_WAITING:
             return False
         self.calls.append((call, trio.current_time() + self.here.count_patience))
@@ -50,26 +50,26 @@
                 self.turned = False
                 link = await self._call(link, call, until)
 
-    async def _call(self, link: Link | None, call: face.Count, until: float) -> Link | None:
+    async def _call(self, link: Link | None, call: interface.AddToCounter, until: float) -> Link | None:
         """One call; the connection if it can be used again."""
         ending, total = Ending.NEVER_UP, 0.0
         with trio.move_on_at(until):
             try:
                 link = link or await connect(self.address, self.here.count_patience)
                 ending = Ending.SILENT  # from here on it may have been added
-                target = f"/counters/{call.name:x}?by={call.amount:.6f}&expire_ms={max(1, call.kept_for // 10)}"
+                target = f"/counters/{call.name:x}?by={call.amount:.6f}&expire_ms={max(1, call.ttl // 10)}"
                 await link.write(plain("POST", target, self.address))
                 message = await link.read()
                 ending, total = _result(message)
                 if not link.renew():
                     link.close()
                     link = None
-            except Break as end:
+            except ConnectionFailedError as end:
                 ending = end.ending
         if link is not None and ending not in (Ending.ANSWERED, Ending.TURNED_AWAY):
             link.close()
             link = None
-        tell(self.queue, face.CounterAnswered(STATUS[ending], total, call.name))
+        tell(self.queue, interface.CounterReplied(STATUS[ending], total, call.name))
         return link
 
 
--- a/oakfork/sockets/decision_loop.py
+++ b/oakfork/sockets/decision_loop.py
@@ -9,10 +9,10 @@
 import trio
 from structlog.stdlib import BoundLogger
 
-from oakfork import interface as face
-from oakfork.decision import Brain
+from oakfork import interface
+from oakfork.decision import DecisionModule
 from oakfork.errors import ConfigurationError
-from oakfork.index_table import Door
+from oakfork.index_table import IndexTable
 from oakfork.sockets.configuration import Address, Surroundings, address
 from oakfork.sockets.counter_client import Counter
 from oakfork.sockets.discovery import Discovery, rows
@@ -26,7 +26,11 @@
     from oakfork.contracts.runner import Contracts
 
 TOO_SHORT = 5  # tenths of a millisecond: less than a sleep and its wake-up take on a busy machine
-STATES = {"up": face.State.READY, "draining": face.State.DRAINING, "removed": face.State.GONE}
+STATES = {
+    "up": interface.ServerState.READY,
+    "draining": interface.ServerState.DRAINING,
+    "removed": interface.ServerState.GONE,
+}
 
 
 class Keeper:
@@ -49,16 +53,16 @@
         self.here, self.inbox, self.queue, self.servers = here, inbox, queue, servers
         self.discovery, self.peers, self.counter, self.nursery, self.log = discovery, peers, counter, nursery, log
         self.epoch = time.time() - trio.current_time()  # the module's clock counts as Unix time does
-        self.door: Door[Exchange, str] = Door()
+        self.index_table: IndexTable[Exchange, str] = IndexTable()
         self.starts: list[tuple[Address, int]] = []  # by the server's index: where and since when it runs
         self.wakes: list[tuple[int, int]] = []  # when, token; emptied as they come
         self.alarm = trio.CancelScope()  # comes when the first of them is due
         self.latest = 0
         self.grain = 2 * here.tick
-        self.own: deque[face.Event] = deque()  # events that the commands themselves cause
-        self.with_load = here.birth.report_how == "on_probe"
-        self.brain = Brain(here.birth, self.now())
-        self._handle(face.ServerList(True, False, self._entries(rows(here.known))))
+        self.own: deque[interface.Event] = deque()  # events that the commands themselves cause
+        self.with_load = here.settings.load_report_mode == "on_probe"
+        self.module = DecisionModule(here.settings, self.now())
+        self._handle(interface.ServerList(True, False, self._entries(rows(here.known))))
         self._count_ready()
 
     def _real(self) -> int:
@@ -100,7 +104,7 @@
             if self.wakes and self.wakes[0][1] == token and self.wakes[0][0] <= self._real():
                 continue  # the same again
             self.latest = max(self.latest, due)
-            self._handle(face.TimeCame(token))
+            self._handle(interface.TimerFired(token))
         self.alarm.deadline = (self.wakes[0][0] + self.grain) / 10_000 - self.epoch if self.wakes else math.inf
 
     def _take(self, told: Told) -> None:
@@ -108,10 +112,10 @@
             case Came(exchange):
                 if self.contracts and not self._reserved(exchange):
                     return
-                index = self.door.admit(exchange)
+                index = self.index_table.add_rpc(exchange)
                 waited = int((trio.current_time() - exchange.received) * 10_000)
                 self._handle(
-                    face.Arrival(
+                    interface.RpcArrived(
                         index,
                         exchange.customer,
                         exchange.method,
@@ -127,103 +131,103 @@
                 )
             case Left(exchange):
                 self._ended(exchange)
-                index = self.door.rpcs.get(exchange)
-                if index is not None and not self.door.tickets[index].over:
-                    self.door.tickets[index].over = True
-                    self._handle(face.ClientGone(index), index)
+                index = self.index_table.rpcs.get(exchange)
+                if index is not None and not self.index_table.rpc_entries[index].answered:
+                    self.index_table.rpc_entries[index].answered = True
+                    self._handle(interface.ClientDisconnected(index), index)
             case CallOutOver(exchange, call_out, ending, message):
                 self._call_out_over(exchange, call_out, ending, message)
             case Listed(complete, failed, servers):
-                self._handle(face.ServerList(complete, failed, self._entries(servers)))
+                self._handle(interface.ServerList(complete, failed, self._entries(servers)))
                 self._count_ready()
             case _:
                 self._handle(told)
 
     def _call_out_over(self, exchange: Exchange, call_out: CallOut, ending: Ending, message: Any) -> None:
-        index = self.door.rpcs[exchange]
-        ticket = self.door.tickets[index]
+        index = self.index_table.rpcs[exchange]
+        rpc_entry = self.index_table.rpc_entries[index]
         exchange.call_outs.pop(call_out.number, None)
-        ticket.out -= 1
+        rpc_entry.open_call_outs -= 1
         if ending is Ending.ANSWERED:  # the first answer goes to the client by itself
             self._finish(index, Answer(200, message.body, message.header(b"content-type")))
         elapsed = int((trio.current_time() - call_out.started) * 10_000)
         self._handle(
-            face.CallOutEnded(
+            interface.CallOutEnded(
                 index,
                 call_out.number,
                 call_out.server,
                 elapsed,
                 STATUS[ending],
-                ticket.over,
+                rpc_entry.answered,
                 0.0,
                 self.servers.load(message),
             ),
             index,
         )
 
-    def _handle(self, event: face.Event, index: int | None = None) -> None:
+    def _handle(self, event: interface.Event, index: int | None = None) -> None:
         """Has the module decide, and carries out what it says."""
         self.own.append(event)
         touched = [] if index is None else [index]
         while self.own:
             event = self.own.popleft()
             try:
-                commands = self.brain.handle(self.now(), event)
+                commands = self.module.handle(self.now(), event)
             except Exception:  # a decision that fails costs its own RPC, not all that this gateway holds
                 self.log.exception("the decision module failed", event_type=type(event).__name__)
-                commands = [face.Abort(index)] if index is not None and self.door.tickets[index] else []
+                commands = [interface.Abort(index)] if index is not None and self.index_table.rpc_entries[index] else []
             for command in commands:
                 self._carry_out(command)
-                if isinstance(command, (face.PushBack, face.Abort)):
+                if isinstance(command, (interface.PushBack, interface.Abort)):
                     touched.append(command.rpc)
         for rpc in touched:
-            self.door.settle(rpc)
+            self.index_table.release_rpc(rpc)
 
-    def _carry_out(self, command: face.Command) -> None:
+    def _carry_out(self, command: interface.Command) -> None:
         """Starts what the command says, without waiting for it."""
         match command:
-            case face.Send():
+            case interface.SendCallOut():
                 self._send(command)
-            case face.PushBack(rpc, retry_after):
+            case interface.PushBack(rpc, retry_after):
                 self._finish(rpc, Answer(503, retry_after=retry_after / 10_000))
-            case face.Abort(rpc):
+            case interface.Abort(rpc):
                 self._finish(rpc, Answer(502))
-            case face.Cancel(rpc, number):
-                ticket = self.door.tickets[rpc]
-                if ticket and number in ticket.true_id.call_outs:
-                    ticket.true_id.call_outs[number].withdraw()
-            case face.Recall(rpc, number):
-                ticket = self.door.tickets[rpc]
-                if ticket and number in ticket.true_id.call_outs:
-                    ticket.true_id.call_outs[number].recall()
-            case face.Wake(token, after):
+            case interface.CancelCallOut(rpc, number):
+                rpc_entry = self.index_table.rpc_entries[rpc]
+                if rpc_entry and number in rpc_entry.external_id.call_outs:
+                    rpc_entry.external_id.call_outs[number].withdraw()
+            case interface.CancelIfUnsent(rpc, number):
+                rpc_entry = self.index_table.rpc_entries[rpc]
+                if rpc_entry and number in rpc_entry.external_id.call_outs:
+                    rpc_entry.external_id.call_outs[number].recall()
+            case interface.SetTimer(token, after):
                 heapq.heappush(self.wakes, (self.latest + after, token))
-            case face.Probe(server):
+            case interface.ProbeServer(server):
                 self.nursery.start_soon(self._probe, server)
-            case face.Tell(peer, data) if self.peers:
+            case interface.SendPeerFrame(peer, data) if self.peers:
                 self.peers.tell(peer, data)
-            case face.Subscribe(on):
+            case interface.SubscribeToList(on):
                 self.discovery.subscribe(on)
-            case face.ReadList():
+            case interface.ReadServerList():
                 self.nursery.start_soon(self.discovery.read_once)
-            case face.CloseIdle(server):
+            case interface.CloseIdleConnections(server):
                 self.servers.close_idle(server)
-            case face.Forget(server):
+            case interface.ForgetServer(server):
                 self.servers.close_idle(server)
-                self.door.forget(server)
-            case face.Count():
+                self.index_table.forget_server(server)
+            case interface.AddToCounter():
                 if not self.counter or not self.counter.count(command):
-                    self.own.append(face.CounterAnswered(STATUS[Ending.NO_ROOM], 0.0, command.name))
-            case face.Note(text):
+                    self.own.append(interface.CounterReplied(STATUS[Ending.NO_ROOM], 0.0, command.name))
+            case interface.WriteLog(text):
                 self.log.info("note", text=text)
 
     def _finish(self, rpc: int, answer: Answer) -> None:
         """Only the first answer counts."""
-        ticket = self.door.tickets[rpc]
-        if ticket and not ticket.over:
-            ticket.over = True
-            self._ended(ticket.true_id)
-            ticket.true_id.answer(answer)
+        rpc_entry = self.index_table.rpc_entries[rpc]
+        if rpc_entry and not rpc_entry.answered:
+            rpc_entry.answered = True
+            self._ended(rpc_entry.external_id)
+            rpc_entry.external_id.answer(answer)
 
     def _reserved(self, exchange: Exchange) -> bool:
         """Whether an RPC, a gather of one leg, may go now; otherwise it has been answered."""
@@ -235,7 +239,7 @@
 
     def _count_ready(self) -> None:
         if self.contracts:
-            self.contracts.listed(len(self.brain.servers.ready))
+            self.contracts.listed(len(self.module.servers.ready))
 
     def _ended(self, exchange: Exchange) -> None:
         """Its leg is over; one that was never sent comes back."""
@@ -243,21 +247,23 @@
             exchange.taken = False
             self.contracts.over(exchange.contract, exchange.sent > 0)
 
-    def _send(self, command: face.Send) -> None:
-        rpc, server, until, written_by = command
-        ticket = self.door.tickets[rpc]
-        exchange = ticket.true_id
+    def _send(self, command: interface.SendCallOut) -> None:
+        rpc, server, until, write_deadline = command
+        rpc_entry = self.index_table.rpc_entries[rpc]
+        exchange = rpc_entry.external_id
         end = min(exchange.until, until / 10_000 - self.epoch) if until else exchange.until
         # A millisecond more: the module is to hear of it when its deadline is past, not just before.
         call_out = CallOut(
-            exchange.sent, server, end + 0.001, written_by / 10_000 - self.epoch if written_by else math.inf
+            exchange.sent, server, end + 0.001, write_deadline / 10_000 - self.epoch if write_deadline else math.inf
         )
         exchange.sent += 1
-        if ticket.over or end <= trio.current_time():
+        if rpc_entry.answered or end <= trio.current_time():
             status = STATUS[Ending.TOO_LATE]
-            self.own.append(face.CallOutEnded(rpc, call_out.number, server, 0, status, ticket.over, 0.0, ()))
+            self.own.append(
+                interface.CallOutEnded(rpc, call_out.number, server, 0, status, rpc_entry.answered, 0.0, ())
+            )
             return
-        ticket.out += 1
+        rpc_entry.open_call_outs += 1
         exchange.call_outs[call_out.number] = call_out
         self.nursery.start_soon(self._call_out, exchange, call_out)
 
@@ -285,9 +291,9 @@
         started = trio.current_time()
         ending, message = await self.servers.probe(server, self.starts[server][0], self.with_load)
         elapsed = int((trio.current_time() - started) * 10_000)
-        tell(self.queue, face.ProbeEnded(server, STATUS[ending], elapsed, self.servers.load(message, probe=True)))
+        tell(self.queue, interface.ProbeEnded(server, STATUS[ending], elapsed, self.servers.load(message, probe=True)))
 
-    def _entries(self, listed: Sequence[Mapping[str, Any]]) -> tuple[face.ServerEntry, ...]:
+    def _entries(self, listed: Sequence[Mapping[str, Any]]) -> tuple[interface.ServerEntry, ...]:
         """The entries that make sense; a list with others is used without those."""
         entries = []
         for row in listed:
@@ -299,15 +305,15 @@
             except (KeyError, TypeError, ValueError, AttributeError, OverflowError, ConfigurationError):
                 self.log.warning("an entry of the server list is not usable", entry=str(row)[:200])
                 continue
-            if place is None and name not in self.door.servers:  # removed before it was known
+            if place is None and name not in self.index_table.servers:  # removed before it was known
                 continue
-            index = self.door.server(name)
+            index = self.index_table.server_index(name)
             if index == len(self.starts):
                 self.starts.append((place, up_since))
             # Guards against connections to what ran there before: its machine may have gone without a word.
-            if state == face.State.GONE or self.starts[index] != (place or self.starts[index][0], up_since):
+            if state == interface.ServerState.GONE or self.starts[index] != (place or self.starts[index][0], up_since):
                 self.servers.close_idle(index)
                 self.starts[index] = place or self.starts[index][0], up_since
-            true_id = int.from_bytes(name.encode(), "big")
-            entries.append(face.ServerEntry(index, true_id, zone, cell, state, up_since, weight))
+            external_id = int.from_bytes(name.encode(), "big")
+            entries.append(interface.ServerEntry(index, external_id, zone, cell, state, up_since, weight))
         return tuple(entries)
--- a/oakfork/sockets/discovery.py
+++ b/oakfork/sockets/discovery.py
@@ -7,7 +7,7 @@
 import trio
 from structlog.stdlib import BoundLogger
 
-from oakfork.errors import Break
+from oakfork.errors import ConnectionFailedError
 from oakfork.sockets.configuration import Address, Surroundings
 from oakfork.sockets.http_connection import Link, connect, plain
 from oakfork.sockets.messages import Listed, Told, tell
@@ -36,8 +36,8 @@
         self.watching = trio.CancelScope()
         self.broken = False  # told in the log once, until it goes on
         self.pause = PAUSE
-        self.chance = random.Random(here.birth.seed)
-        if not here.birth.asks_list:
+        self.chance = random.Random(here.settings.seed)
+        if not here.settings.subscribes_to_list:
             self.asked.set()
 
     async def run(self) -> None:
@@ -47,11 +47,13 @@
             with self.watching:
                 try:
                     await self._watch()
-                except Break as end:
+                except ConnectionFailedError as end:
                     if not self.broken:
                         self.log.warning("the watch of the server list broke", ending=end.ending.name, todo=end.todo)
                     self.broken = True
-                    if self.here.birth.asks_list and end.ending is Ending.ERROR:  # the module says when to ask again
+                    if (
+                        self.here.settings.subscribes_to_list and end.ending is Ending.ERROR
+                    ):  # the module says when to ask again
                         self.asked = trio.Event()
                         tell(self.queue, Listed(False, True, ()))
                         continue
@@ -82,7 +84,7 @@
                 await self._ask(link, address, "/api/targets")
             finally:
                 link.close()
-        except Break:
+        except ConnectionFailedError:
             tell(self.queue, Listed(False, True, ()))
 
     async def _connect(self, address: Address) -> Link:
@@ -109,15 +111,15 @@
             await link.write(plain("GET", target, address))
             message = await link.read()
             if address != self.address:  # that agent is ours no more: its version says nothing of the new one's
-                raise Break(Ending.GIVEN_UP)
+                raise ConnectionFailedError(Ending.GIVEN_UP)
             if message.head.status_code != 200:
-                raise Break(Ending.ERROR)
+                raise ConnectionFailedError(Ending.ERROR)
             try:
                 told = json.loads(message.body)
                 version, complete, servers = int(told["version"]), bool(told["full"]), list(told["servers"])
             except (ValueError, TypeError, KeyError, OverflowError, RecursionError):
                 self.version = None  # what was missed is not known: the whole list next
-                raise Break(Ending.MALFORMED) from None
+                raise ConnectionFailedError(Ending.MALFORMED) from None
             if not hold and self.version is not None and version < self.version:
                 return  # read beside a watch that has been told more since
             # From here to the end nothing waits: a version that counts as read is told, whatever is cancelled.
@@ -125,7 +127,7 @@
             if servers or complete:
                 tell(self.queue, Listed(complete, False, servers))
             return
-        raise Break(Ending.SILENT)
+        raise ConnectionFailedError(Ending.SILENT)
 
 
 def rows(known: Mapping[str, Any]) -> list:
--- a/oakfork/sockets/exchange.py
+++ b/oakfork/sockets/exchange.py
@@ -6,8 +6,8 @@
 import h11
 import trio
 
-from oakfork.errors import BadRequest
-from oakfork.interface import Birth, Repeat
+from oakfork.errors import BadRequestError
+from oakfork.interface import GatewaySettings, RepeatSafety
 from oakfork.settings import tenths
 from oakfork.sockets.configuration import Names
 from oakfork.sockets.http_connection import Header, Message, pairs
@@ -50,12 +50,12 @@
 class CallOut:
     """One call-out of an RPC while it is out."""
 
-    __slots__ = ("number", "server", "scope", "withdrawn", "begun", "written_by", "started")
+    __slots__ = ("number", "server", "scope", "withdrawn", "begun", "write_deadline", "started")
 
-    def __init__(self, number: int, server: int, until: float, written_by: float) -> None:
+    def __init__(self, number: int, server: int, until: float, write_deadline: float) -> None:
         self.number, self.server = number, server
         self.scope = trio.CancelScope(deadline=until)
-        self.written_by = written_by
+        self.write_deadline = write_deadline
         self.withdrawn = False
         self.begun = False  # its first byte may have been written
         self.started = trio.current_time()
@@ -70,14 +70,16 @@
 
     def begin(self) -> bool:
         """Whether it may begin, now that there is a connection. From here on it may have run."""
-        self.begun = not self.withdrawn and trio.current_time() <= min(self.written_by, self.scope.deadline)
+        self.begun = not self.withdrawn and trio.current_time() <= min(self.write_deadline, self.scope.deadline)
         return self.begun
 
 
 class Exchange:
     """An RPC from its head to its answer, with its call-outs."""
 
-    def __init__(self, message: Message, names: Names, birth: Birth, answer: Callable[[Answer], None]) -> None:
+    def __init__(
+        self, message: Message, names: Names, settings: GatewaySettings, answer: Callable[[Answer], None]
+    ) -> None:
         self.received = trio.current_time()
         self.message = message
         self.waiting = [answer]  # who is answered: the client's connection, and others it came again on
@@ -88,20 +90,20 @@
         rows = list(message.head.headers)  # h11 builds each row anew
         headers = dict(rows)
         if len(headers) < len(rows) and sum(row[0] in OURS for row in rows) > len(OURS & headers.keys()):
-            raise BadRequest("a header of the protocol stands there twice")
+            raise BadRequestError("a header of the protocol stands there twice")
         self.customer = _customer(message.head.target)
         self.method = _named(names.methods, headers, b"x-lane")
         self.plan = _named(names.plans, headers, b"x-tier")
         self.id = headers.get(b"x-txn", b"")
         if not self.id:
-            raise BadRequest("no X-Txn")
-        row = birth.methods[self.method]
-        if row.repeat == Repeat.DEDUPLICATED and not headers.get(b"idempotency-key"):
-            raise BadRequest("no Idempotency-Key")  # sent again, it would run twice
+            raise BadRequestError("no X-Txn")
+        row = settings.methods[self.method]
+        if row.repeat == RepeatSafety.DEDUPLICATED and not headers.get(b"idempotency-key"):
+            raise BadRequestError("no Idempotency-Key")  # sent again, it would run twice
         # Guards against call-outs that stay for as long as a client says: nobody waits longer than the deadline.
         self.time_left = min(tenths(_number(headers.get(b"x-remaining-ms", b""), "X-Remaining-Ms")), row.deadline)
         self.until = self.received + self.time_left / 10_000
-        self.units, self.first_gateway, self.spread = _terms(headers.get(b"x-call-terms", b""), birth)
+        self.units, self.first_gateway, self.spread = _terms(headers.get(b"x-call-terms", b""), settings)
         self.repeated = headers.get(b"x-resent") == b"1"
         self.headers: list[Header] = [row for row in rows if row[0] not in NOT_PASSED_ON]
         if b"host" not in headers:  # HTTP/1.0 may leave it out
@@ -137,35 +139,37 @@
 def _customer(target: bytes) -> int:
     found = CLIENT.findall(target)
     if len(found) != 1 or not CUSTOMER.fullmatch(found[0]):
-        raise BadRequest("the query names no client in 16 hex digits")
+        raise BadRequestError("the query names no client in 16 hex digits")
     customer = int(found[0], 16)
     if customer >= LARGEST_CUSTOMER:
-        raise BadRequest("the client's number is out of range")
+        raise BadRequestError("the client's number is out of range")
     return customer
 
 
 def _named(numbers: Mapping[bytes, int], headers: Mapping[bytes, bytes], name: bytes) -> int:
     number = numbers.get(headers.get(name, b""))
     if number is None:
-        raise BadRequest(f"{name.decode()} names nothing that the settings know")
+        raise BadRequestError(f"{name.decode()} names nothing that the settings know")
     return number
 
 
 def _number(text: bytes, what: str) -> float:
     if not NUMBER.fullmatch(text):
-        raise BadRequest(f"{what} is not a number in range")
+        raise BadRequestError(f"{what} is not a number in range")
     return float(text)
 
 
-def _terms(text: bytes, birth: Birth) -> tuple[float, int, int]:
+def _terms(text: bytes, settings: GatewaySettings) -> tuple[float, int, int]:
     """Units, first gateway and spread, each in the range of the settings."""
     rows = list(pairs(text)) if text else []
     terms = dict(rows)
     units = _number(terms.get(b"units", b"1"), "units")
     first = _number(terms.get(b"first", b"0"), "first")
-    spread = _number(terms.get(b"spread", b"%d" % birth.gateways), "spread")
+    spread = _number(terms.get(b"spread", b"%d" % settings.gateways), "spread")
     whole = first == int(first) and spread == int(spread)
     whole = whole and len(terms) == len(rows)  # nor told twice
-    if not (0 < units <= birth.most_units and whole and first < birth.gateways and 1 <= spread <= birth.gateways):
-        raise BadRequest("X-Call-Terms are out of range")
+    if not (
+        0 < units <= settings.max_units and whole and first < settings.gateways and 1 <= spread <= settings.gateways
+    ):
+        raise BadRequestError("X-Call-Terms are out of range")
     return units, int(first), int(spread)
--- a/oakfork/sockets/gateway.py
+++ b/oakfork/sockets/gateway.py
@@ -13,7 +13,7 @@
 from structlog.stdlib import BoundLogger
 
 from oakfork import early_signals
-from oakfork.errors import AddressTaken, ConfigurationError, FileError, told
+from oakfork.errors import AddressInUseError, ConfigurationError, FileError, log_fields
 from oakfork.sockets.client_connections import Clients
 from oakfork.sockets.configuration import Surroundings, reread
 from oakfork.sockets.counter_client import Counter
@@ -58,18 +58,20 @@
         listener = bound(socket.SOCK_STREAM, here.listen)
         datagrams = bound(socket.SOCK_DGRAM, here.peer_listen) if here.peer_listen else None
         fleet = _fleet(here, log, queue)
-    except AddressTaken as error:
-        log.error("an address of its own can't be had", **told(error))
+    except AddressInUseError as error:
+        log.error("an address of its own can't be had", **log_fields(error))
         sys.exit(error.status)
     except FileError as error:
-        log.error("a file of the fleet is not usable", **told(error))
+        log.error("a file of the fleet is not usable", **log_fields(error))
         sys.exit(error.status)
     with trio.open_signal_receiver(signal.SIGTERM, signal.SIGINT, signal.SIGHUP) as signals:
         async with trio.open_nursery() as nursery:
             # Two fifths of the descriptors for the servers, OTHERS for the rest, what is left for the clients.
             to_servers = here.sockets * 2 // 5
             largest = here.memory // ANSWERS
-            servers = Servers(to_servers, largest, here.connect_patience, here.idle_patience, here.birth.report_names)
+            servers = Servers(
+                to_servers, largest, here.connect_patience, here.idle_patience, here.settings.load_report_names
+            )
             clients = Clients(here, listener, max(1, here.sockets - to_servers - OTHERS), queue, nursery, log)
             discovery = Discovery(here, queue, log)
             peers = Peers(here, datagrams, queue) if datagrams else None
@@ -122,7 +124,7 @@
 ) -> None:
     """Takes signals until the end of the process, while it leaves too: one that nobody takes would end it."""
     async with trio.open_nursery() as nursery:
-        if early_signals.taken():
+        if early_signals.take_pending_hangup():
             nursery.start_soon(_turn, discovery, counter, log)
         async for number in signals:
             if number != signal.SIGHUP:
@@ -142,7 +144,7 @@
             break
         except ConfigurationError as error:
             if reading == READINGS - 1:
-                log.error("the new configuration is not usable, the old one holds", **told(error))
+                log.error("the new configuration is not usable, the old one holds", **log_fields(error))
                 return
             await trio.sleep(BETWEEN)
     discovery.turn_to(to_discovery)
--- a/oakfork/sockets/http_connection.py
+++ b/oakfork/sockets/http_connection.py
@@ -8,7 +8,7 @@
 import h11
 import trio
 
-from oakfork.errors import AddressTaken, Break
+from oakfork.errors import AddressInUseError, ConnectionFailedError
 from oakfork.sockets.outcomes import Ending
 
 LARGEST_BODY = 64 * 1024  # PROTOCOL: a body holds 64 KiB at most; servers have been seen to say more
@@ -53,9 +53,9 @@
         elif name == b"transfer-encoding":
             chunks = value
     if chunks is not None and (length is not None or head.http_version < b"1.1"):
-        raise Break(Ending.MALFORMED)
+        raise ConnectionFailedError(Ending.MALFORMED)
     if length is not None and length > largest:
-        raise Break(Ending.OVERSIZED)
+        raise ConnectionFailedError(Ending.OVERSIZED)
 
 
 class Link:
@@ -82,7 +82,7 @@
             except BlockingIOError:
                 continue
             except OSError:
-                raise Break(Ending.BROKEN) from None
+                raise ConnectionFailedError(Ending.BROKEN) from None
             self.buffered += len(data)
             self.http.receive_data(data)
             return bool(data)
@@ -106,7 +106,7 @@
         except BlockingIOError:
             return True
         except OSError:
-            raise Break(Ending.BROKEN) from None
+            raise ConnectionFailedError(Ending.BROKEN) from None
         if data:
             await trio.sleep(pause)
         return bool(data)
@@ -123,7 +123,7 @@
                 event = self.http.next_event()
             except h11.RemoteProtocolError:
                 ended = self.http.trailing_data[1]
-                raise Break(Ending.ENDED if ended else Ending.MALFORMED) from None
+                raise ConnectionFailedError(Ending.ENDED if ended else Ending.MALFORMED) from None
             if event is h11.NEED_DATA:
                 return None
             if isinstance(event, (h11.Request, h11.Response)):
@@ -132,7 +132,7 @@
             elif isinstance(event, h11.Data):
                 self.size += len(event.data)
                 if self.size > self.largest:
-                    raise Break(Ending.OVERSIZED)
+                    raise ConnectionFailedError(Ending.OVERSIZED)
                 self.body.append(bytes(event.data))
             elif isinstance(event, h11.EndOfMessage):
                 message = Message(self.head, b"".join(self.body))
@@ -140,9 +140,9 @@
                 self.buffered = len(self.http.trailing_data[0])
                 return message
             elif isinstance(event, h11.ConnectionClosed):
-                raise Break(Ending.ENDED)
+                raise ConnectionFailedError(Ending.ENDED)
             elif event is h11.PAUSED:
-                raise Break(Ending.MALFORMED)
+                raise ConnectionFailedError(Ending.MALFORMED)
 
     async def read(self, patience: float = float("inf")) -> Message:
         """The next whole message. Guards against answers that stop half-way: one that has begun may pause for so long
@@ -154,7 +154,7 @@
             with trio.move_on_after(patience) as scope:
                 await self.fill()
             if scope.cancelled_caught:
-                raise Break(Ending.STALLED)
+                raise ConnectionFailedError(Ending.STALLED)
         return message
 
     def put(self, head: h11.Request | h11.Response | h11.InformationalResponse, body: bytes = b"") -> list[memoryview]:
@@ -166,13 +166,13 @@
                     chunks += self.http.send_with_data_passthrough(h11.Data(data=body))
                 chunks += self.http.send_with_data_passthrough(h11.EndOfMessage())
         except h11.LocalProtocolError:  # not to be said on this connection, as it stands
-            raise Break(Ending.UNSENT) from None
+            raise ConnectionFailedError(Ending.UNSENT) from None
         return self._push([memoryview(chunk) for chunk in chunks if chunk])
 
     async def drain(self, left: list[memoryview]) -> None:
         while left:
             if self.sock.fileno() < 0:  # closed before this task had its turn
-                raise Break(Ending.UNSENT)
+                raise ConnectionFailedError(Ending.UNSENT)
             await trio.lowlevel.wait_writable(self.sock)
             left = self._push(left)
 
@@ -187,7 +187,7 @@
         except BlockingIOError:
             return left
         except OSError:
-            raise Break(Ending.UNSENT) from None
+            raise ConnectionFailedError(Ending.UNSENT) from None
         while left and sent >= len(left[0]):
             sent -= len(left.pop(0))
         if sent:
@@ -219,7 +219,7 @@
 
 
 def bound(kind: socket.SocketKind, address: tuple[str, int]) -> socket.socket:
-    """A socket of ours at an address; raises AddressTaken."""
+    """A socket of ours at an address; raises AddressInUseError."""
     sock = socket.socket(socket.AF_INET, kind)
     sock.setblocking(False)
     if kind == socket.SOCK_STREAM:
@@ -228,7 +228,7 @@
         sock.bind(address)
     except OSError as error:
         sock.close()
-        raise AddressTaken(f"{address[0]}:{address[1]}: {error}") from error
+        raise AddressInUseError(f"{address[0]}:{address[1]}: {error}") from error
     return sock
 
 
@@ -237,7 +237,7 @@
     try:
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     except OSError:
-        raise Break(Ending.NO_ROOM) from None
+        raise ConnectionFailedError(Ending.NO_ROOM) from None
     try:
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -246,13 +246,13 @@
             with trio.CancelScope(deadline=trio.current_time() + patience) as scope:
                 await trio.lowlevel.wait_writable(sock)
             if scope.cancelled_caught:
-                raise Break(Ending.NEVER_UP)
+                raise ConnectionFailedError(Ending.NEVER_UP)
             code = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
         if code:
-            raise Break(Ending.REFUSED)
+            raise ConnectionFailedError(Ending.REFUSED)
     except OSError:
         sock.close()
-        raise Break(Ending.REFUSED) from None
+        raise ConnectionFailedError(Ending.REFUSED) from None
     except BaseException:
         sock.close()
         raise
--- a/oakfork/sockets/messages.py
+++ b/oakfork/sockets/messages.py
@@ -4,7 +4,7 @@
 
 import trio
 
-from oakfork import interface as face
+from oakfork import interface
 from oakfork.sockets.exchange import CallOut, Exchange
 from oakfork.sockets.http_connection import Message
 from oakfork.sockets.outcomes import Ending
@@ -34,7 +34,7 @@
 
 
 # None: a timer of the keeper's is due.
-Told = Came | Left | CallOutOver | Listed | face.ProbeEnded | face.PeerFrame | face.CounterAnswered | None
+Told = Came | Left | CallOutOver | Listed | interface.ProbeEnded | interface.PeerFrame | interface.CounterReplied | None
 
 
 # Datagrams that the keeper has not yet taken; more are lost, as datagrams may be.
@@ -50,6 +50,6 @@
     queue.send_nowait(told)
 
 
-def tell_datagram(queue: trio.MemorySendChannel[Told], told: face.PeerFrame) -> None:
+def tell_datagram(queue: trio.MemorySendChannel[Told], told: interface.PeerFrame) -> None:
     if queue.statistics().current_buffer_used < MOST_DATAGRAMS:
         queue.send_nowait(told)
--- a/oakfork/sockets/outcomes.py
+++ b/oakfork/sockets/outcomes.py
@@ -40,5 +40,5 @@
     Ending.STALLED: Status.RESET,
     Ending.SILENT: Status.TIMED_OUT,
     Ending.GIVEN_UP: Status.CANCELLED,
-    Ending.TOO_LATE: Status.MOOT,
+    Ending.TOO_LATE: Status.NEVER_STARTED,
 }
--- a/oakfork/sockets/peers.py
+++ b/oakfork/sockets/peers.py
@@ -4,7 +4,7 @@
 
 import trio
 
-from oakfork import interface as face
+from oakfork import interface
 from oakfork.peer_codec import LARGEST
 from oakfork.sockets.configuration import Surroundings
 from oakfork.sockets.messages import Told, tell_datagram
@@ -27,7 +27,7 @@
             except OSError:  # nothing after all, or an earlier datagram of ours found nobody there
                 continue
             if sender in self.numbers:
-                tell_datagram(self.queue, face.PeerFrame(self.numbers[sender], data))
+                tell_datagram(self.queue, interface.PeerFrame(self.numbers[sender], data))
 
     def tell(self, peer: int, data: bytes) -> None:
         """Sends at once or not at all."""
--- a/oakfork/sockets/server_connections.py
+++ b/oakfork/sockets/server_connections.py
@@ -6,7 +6,7 @@
 import h11
 import trio
 
-from oakfork.errors import Break
+from oakfork.errors import ConnectionFailedError
 from oakfork.sockets.configuration import Address
 from oakfork.sockets.exchange import CallOut
 from oakfork.sockets.http_connection import Link, Message, connect, pairs, plain
@@ -73,17 +73,17 @@
         request's head for its first byte."""
         link, age, ending, era = None, None, Ending.GIVEN_UP, self.eras.get(server, 0)
         try:
-            with trio.CancelScope(deadline=call_out.written_by if call_out else math.inf) as scope:
+            with trio.CancelScope(deadline=call_out.write_deadline if call_out else math.inf) as scope:
                 link, age = self._kept(server)
                 link = link or await self._new(address)
                 # Guards against a head that tells of time spent waiting for its connection: made now, not before.
                 request = _made(head)
                 # Guards against connections that come up late: they may lead to what runs there no more.
                 if era != self.eras.get(server, 0) or call_out and not call_out.begin():
-                    raise Break(Ending.TOO_LATE)
+                    raise ConnectionFailedError(Ending.TOO_LATE)
                 await link.write(request, body)
             if scope.cancelled_caught:
-                raise Break(Ending.UNSENT if link else Ending.NEVER_UP)
+                raise ConnectionFailedError(Ending.UNSENT if link else Ending.NEVER_UP)
             message = await link.read(self.connect_patience)
             # Guards against keeping a connection, in use when what runs there changed, under an index that stands for
             # something else by now.
@@ -92,7 +92,7 @@
                 link = None
             ending = _ending(message)
             return ending, message
-        except Break as end:
+        except ConnectionFailedError as end:
             ending = end.ending
             return ending, None
         finally:
@@ -124,7 +124,7 @@
 
     async def _new(self, address: Address) -> Link:
         if self.open >= self.most and not self._drop_oldest():
-            raise Break(Ending.NO_ROOM)
+            raise ConnectionFailedError(Ending.NO_ROOM)
         self.open += 1
         try:
             return await connect(address, self.connect_patience, self.largest)
@@ -180,7 +180,7 @@
     try:
         return head()
     except h11.LocalProtocolError:  # not to be said to any server: none is to blame
-        raise Break(Ending.TOO_LATE) from None
+        raise ConnectionFailedError(Ending.TOO_LATE) from None
 
 
 def _ending(message: Message) -> Ending:
