--- a/tests/gateway_network.py
+++ b/tests/gateway_network.py
@@ -6,15 +6,15 @@
 import heapq
 import random
 
-from oakfork import interface as face
-from oakfork.decision import Brain
-from oakfork.interface import NEVER_RAN, SECOND, Method, Plan, Repeat, State, Status
+from oakfork import interface
+from oakfork.decision import DecisionModule
+from oakfork.interface import NEVER_RAN, SECOND, Method, Plan, RepeatSafety, ServerState, Status
 
 METHODS = (
-    Method(20_000, 60_000, Repeat.IDEMPOTENT, "all", 50_000, 1.0, 0.0, False),
-    Method(8_000, 30_000, Repeat.DEDUPLICATED, "cell", 1_500, 2.0, 0.0, False),
-    Method(8_000, 30_000, Repeat.DEDUPLICATED, "all", 15_000, 2.0, 0.2, False),
-    Method(8_000, 20_000, Repeat.NON_IDEMPOTENT, "all", 0, 2.0, 0.0, False),
+    Method(20_000, 60_000, RepeatSafety.IDEMPOTENT, "all", 50_000, 1.0, 0.0, False),
+    Method(8_000, 30_000, RepeatSafety.DEDUPLICATED, "cell", 1_500, 2.0, 0.0, False),
+    Method(8_000, 30_000, RepeatSafety.DEDUPLICATED, "all", 15_000, 2.0, 0.2, False),
+    Method(8_000, 20_000, RepeatSafety.NON_IDEMPOTENT, "all", 0, 2.0, 0.0, False),
 )
 PLANS = (
     Plan(4.0, 8.0, 0, 0.0, 0.0, 0.0, 1.0, 0.0, 1.0),
@@ -25,7 +25,7 @@
 SLACK = 160  # beyond the deadline, within which a final answer is in time
 
 
-def birth(index=0, gateways=1, seed=1, **changes) -> face.Birth:
+def gateway_settings(index=0, gateways=1, seed=1, **changes) -> interface.GatewaySettings:
     values = dict(
         seed=seed,
         index=index,
@@ -33,34 +33,36 @@
         zone=0,
         methods=METHODS,
         plans=PLANS,
-        mail_per_s=30.0,
-        most_units=2,
-        settles=False,
+        peer_frames_per_s=30.0,
+        max_units=2,
+        reports_true_units=False,
         peers=True,
         cancel=True,
         second_copies=True,
         retry_after=True,
         probing=False,
         max_call_outs=4,
-        asks_list=False,
-        list_patience=SECOND,
-        report_names=(),
-        report_how="off",
+        subscribes_to_list=False,
+        list_timeout=SECOND,
+        load_report_names=(),
+        load_report_mode="off",
         drain_grace=5_000,
         cold_share=0.2,
         cold_time=15 * SECOND,
         fall_multiple=2.0,
         fall_time=2 * SECOND,
     )
-    return face.Birth(**(values | changes))
+    return interface.GatewaySettings(**(values | changes))
 
 
-def entry(server, state=State.READY, since=0) -> face.ServerEntry:
-    return face.ServerEntry(server, 1000 + server, server % 2, server % 3, state, since, 1.0)
+def entry(server, state=ServerState.READY, since=0) -> interface.ServerEntry:
+    return interface.ServerEntry(server, 1000 + server, server % 2, server % 3, state, since, 1.0)
 
 
-def arrival(rpc, customer=7, method=0, plan=0, units=1.0, first=0, spread=1, left=None) -> face.Arrival:
-    return face.Arrival(rpc, customer, method, plan, units, first, spread, left or METHODS[method].deadline, False)
+def arrival(rpc, customer=7, method=0, plan=0, units=1.0, first=0, spread=1, left=None) -> interface.RpcArrived:
+    return interface.RpcArrived(
+        rpc, customer, method, plan, units, first, spread, left or METHODS[method].deadline, False
+    )
 
 
 class World:
@@ -70,9 +72,11 @@
         self.late = (0,)  # how long connections take to come up: drawn from these
         self.now, self.order, self.queue = 1000, 0, []
         self.servers, self.count = servers, gateways
-        self.link_cap = birth().mail_per_s / max(1, gateways - 1)  # frames a second from one to another
+        self.link_cap = gateway_settings().peer_frames_per_s / max(
+            1, gateways - 1
+        )  # frames a second from one to another
         self.down_until = [0] * gateways
-        self.lives, self.brains = [0] * gateways, [None] * gateways
+        self.lives, self.modules = [0] * gateways, [None] * gateways
         self.told = [{} for _ in range(gateways)]  # server -> state, since
         self.rpcs, self.next_rpc = {}, 0  # (gateway, life, rpc) -> what is known of it
         self.stores = {}  # customer -> ceiling tokens, updated
@@ -93,9 +97,11 @@
 
     def launch(self, index: int) -> None:
         self.end_life(index)
-        self.brains[index] = Brain(birth(index, self.count, self.dice.getrandbits(64), **self.settings), self.now)
-        self.told[index] = {server: (State.READY, 0) for server in range(self.servers)}
-        self.give(index, face.ServerList(True, False, tuple(entry(server) for server in range(self.servers))))
+        self.modules[index] = DecisionModule(
+            gateway_settings(index, self.count, self.dice.getrandbits(64), **self.settings), self.now
+        )
+        self.told[index] = {server: (ServerState.READY, 0) for server in range(self.servers)}
+        self.give(index, interface.ServerList(True, False, tuple(entry(server) for server in range(self.servers))))
 
     def step(self) -> bool:
         """Plays the next event and checks the rules."""
@@ -113,12 +119,12 @@
         if callable(event):
             event(index)
             return
-        if isinstance(event, face.Arrival):
+        if isinstance(event, interface.RpcArrived):
             key = (index, self.lives[index], event.rpc)
             self.rpcs[key] = dict(
                 ask=event, dl=self.now + event.time_left, over=False, out={}, maybe={}, sent=0, stopped=set()
             )
-        elif isinstance(event, face.CallOutEnded):
+        elif isinstance(event, interface.CallOutEnded):
             known = self.rpcs[index, self.lives[index], event.rpc]
             if event.call_out not in known["out"]:
                 return
@@ -130,26 +136,26 @@
                 self.answers["ok"] += 1
             elif known["over"]:
                 event = event._replace(final=True)
-        elif isinstance(event, face.ClientGone):
+        elif isinstance(event, interface.ClientDisconnected):
             known = self.rpcs.get((index, self.lives[index], event.rpc))
             if known is None or known["over"]:
                 return
             known["over"], known["left"] = True, self.now
-        elif isinstance(event, face.ServerList):
+        elif isinstance(event, interface.ServerList):
             if event.complete:
-                self.told[index] = {server: (State.GONE, 0) for server in self.told[index]}
+                self.told[index] = {server: (ServerState.GONE, 0) for server in self.told[index]}
             self.told[index].update({e.server: (e.state, e.up_since) for e in event.entries})
-        for command in self.brains[index].handle(self.now, event):
+        for command in self.modules[index].handle(self.now, event):
             self.log.append((self.now, index, command))
             self.carry_out(index, command)
 
     def carry_out(self, index: int, command) -> None:
         dice = self.dice
         match command:
-            case face.Wake(token, after):
+            case interface.SetTimer(token, after):
                 assert after > 0
-                self.later(after, index, face.TimeCame(token))
-            case face.Tell(peer, data):
+                self.later(after, index, interface.TimerFired(token))
+            case interface.SendPeerFrame(peer, data):
                 assert 0 < len(data) <= 256 and peer != index
                 times = self.frames.setdefault((index, self.lives[index], peer), [])
                 times.append(self.now)
@@ -159,42 +165,42 @@
                     return
                 for _ in range(dice.choice((0, 1, 1, 1, 1, 1, 1, 2)) if self.trouble else 1):  # lost, doubled
                     delay = dice.randint(10, 300) if dice.random() < 0.97 or not self.trouble else 9_000  # late
-                    self.later(delay, peer, face.PeerFrame(index, data))
-            case face.Probe(server):
+                    self.later(delay, peer, interface.PeerFrame(index, data))
+            case interface.ProbeServer(server):
                 took, status = self.probed(server)
-                self.later(took, index, face.ProbeEnded(server, Status(status), took, ()))
-            case face.PushBack(rpc) | face.Abort(rpc):
+                self.later(took, index, interface.ProbeEnded(server, Status(status), took, ()))
+            case interface.PushBack(rpc) | interface.Abort(rpc):
                 known = self.rpcs[index, self.lives[index], rpc]
                 assert not known["over"], "rule 1: a second final answer"
                 method = self.methods[known["ask"].method]
-                if isinstance(command, face.PushBack) and known["maybe"]:
-                    assert method.repeat == Repeat.IDEMPOTENT or (
-                        method.repeat == Repeat.DEDUPLICATED and method.group == "all"
+                if isinstance(command, interface.PushBack) and known["maybe"]:
+                    assert method.repeat == RepeatSafety.IDEMPOTENT or (
+                        method.repeat == RepeatSafety.DEDUPLICATED and method.group == "all"
                     ), "rule 2: harmful pushback"
                 known["over"] = True
-                self.answers["pushed back" if isinstance(command, face.PushBack) else "aborted"] += 1
-            case face.Cancel(rpc, call_out):
+                self.answers["pushed back" if isinstance(command, interface.PushBack) else "aborted"] += 1
+            case interface.CancelCallOut(rpc, call_out):
                 known = self.rpcs[index, self.lives[index], rpc]
                 begun = call_out in known["maybe"]
-                self.end(index, rpc, call_out, Status.CANCELLED if begun else Status.MOOT, 20)
-            case face.Recall(rpc, call_out):
+                self.end(index, rpc, call_out, Status.CANCELLED if begun else Status.NEVER_STARTED, 20)
+            case interface.CancelIfUnsent(rpc, call_out):
                 known = self.rpcs.get((index, self.lives[index], rpc))
                 if known and call_out in known["out"] and call_out not in known["maybe"]:
-                    self.end(index, rpc, call_out, Status.MOOT, 1)
-            case face.Send(rpc, server):
-                self.send(index, rpc, server, command.written_by)
+                    self.end(index, rpc, call_out, Status.NEVER_STARTED, 1)
+            case interface.SendCallOut(rpc, server):
+                self.send(index, rpc, server, command.write_deadline)
 
     def end(self, index: int, rpc: int, call_out: int, status: Status, after: int) -> None:
         known = self.rpcs[index, self.lives[index], rpc]
         known["stopped"].add(call_out)
         server = known["out"][call_out]
-        self.later(after, index, face.CallOutEnded(rpc, call_out, server, after, status, known["over"], 0, ()))
+        self.later(after, index, interface.CallOutEnded(rpc, call_out, server, after, status, known["over"], 0, ()))
 
-    def send(self, index: int, rpc: int, server: int, written_by: int) -> None:
+    def send(self, index: int, rpc: int, server: int, write_deadline: int) -> None:
         known = self.rpcs[index, self.lives[index], rpc]
         ask = known["ask"]
         assert not known["over"] and self.now < known["dl"], "rule 1: sent on after its final answer"
-        assert self.told[index][server][0] == State.READY, "rule 3: sent to a server that drains or is gone"
+        assert self.told[index][server][0] == ServerState.READY, "rule 3: sent to a server that drains or is gone"
         plan = PLANS[ask.plan]
         if plan.ceiling_rate and not known["sent"]:
             tokens, at = self.stores.get(ask.customer, (plan.ceiling_burst, self.now))
@@ -206,30 +212,30 @@
         known["out"][number] = server
         late = self.dice.choice(self.late) if len(self.late) > 1 else self.late[0]
         if late:
-            self.later(late, index, lambda index: self.begin(index, rpc, number, written_by))
+            self.later(late, index, lambda index: self.begin(index, rpc, number, write_deadline))
         else:
-            self.begin(index, rpc, number, written_by)
+            self.begin(index, rpc, number, write_deadline)
 
-    def begin(self, index: int, rpc: int, number: int, written_by: int) -> None:
+    def begin(self, index: int, rpc: int, number: int, write_deadline: int) -> None:
         """Its connection is up: what the gateway has not taken back by now runs."""
         known = self.rpcs.get((index, self.lives[index], rpc))
         if known is None or number not in known["out"] or number in known["stopped"]:
             return
         server, ask, dice = known["out"][number], known["ask"], self.dice
-        if written_by and self.now > written_by or self.now >= known["dl"]:
+        if write_deadline and self.now > write_deadline or self.now >= known["dl"]:
             self.end(index, rpc, number, Status.CONNECT_FAILED, 1)
             return
         method = self.methods[ask.method]
         assert not known["over"], "a client that has gone, or is answered, has a call-out begin"
         if known["maybe"]:
-            assert method.repeat != Repeat.NON_IDEMPOTENT, "rule 2: a non-idempotent RPC sent again"
-            if method.repeat == Repeat.DEDUPLICATED:
+            assert method.repeat != RepeatSafety.NON_IDEMPOTENT, "rule 2: a non-idempotent RPC sent again"
+            if method.repeat == RepeatSafety.DEDUPLICATED:
                 first, at = min(known["maybe"].values(), key=lambda where: where[1])
-                assert self.now < at + method.remembered, "rule 2: sent again when its mark was forgotten"
+                assert self.now < at + method.deduplication_time, "rule 2: sent again when its mark was forgotten"
                 parts = {"all": 1, "zone": 2, "cell": 3}[method.group]
                 assert first % parts == server % parts, "rule 2: sent again outside its group"
         state, since = self.told[index][server]
-        assert state == State.READY, "rule 3: sent to a server that drains or is gone"
+        assert state == ServerState.READY, "rule 3: sent to a server that drains or is gone"
         if since and self.now - since < SECOND:
             # What an earlier process on that machine held does not count.
             held = sum(
@@ -246,7 +252,7 @@
         status, took = self.reached(server, status, took, left)
         status = Status.TIMED_OUT if took == left else status
         late = dice.choice((0, 0, 500)) if took == left else 0  # the gateway must keep the deadline by itself
-        self.later(took + late, index, face.CallOutEnded(rpc, number, server, took, status, False, 0, ()))
+        self.later(took + late, index, interface.CallOutEnded(rpc, number, server, took, status, False, 0, ()))
 
     def carries(self, sender: int, receiver: int) -> bool:
         return True
@@ -298,6 +304,8 @@
             self.launch(index)
             return
         server = dice.randrange(self.servers)
-        state, since = dice.choice(((State.DRAINING, 0), (State.GONE, 0), (State.READY, self.now), (State.READY, 0)))
+        state, since = dice.choice(
+            ((ServerState.DRAINING, 0), (ServerState.GONE, 0), (ServerState.READY, self.now), (ServerState.READY, 0))
+        )
         for other in range(self.count):
-            self.give(other, face.ServerList(False, False, (entry(server, state, since),)))
+            self.give(other, interface.ServerList(False, False, (entry(server, state, since),)))
--- a/tests/lab_worlds.py
+++ b/tests/lab_worlds.py
@@ -4,7 +4,7 @@
 import tomllib
 from pathlib import Path
 
-from oakfork.decision import Brain
+from oakfork.decision import DecisionModule
 from oakfork.lab import experiment as files
 from oakfork.lab.world import World
 
@@ -27,5 +27,5 @@
     return document
 
 
-def world(decide=Brain, seed=1, **changes) -> World:
+def world(decide=DecisionModule, seed=1, **changes) -> World:
     return World(files.checked(told(**changes)).runs[0].world, decide, seed)
--- a/tests/test_callouts.py
+++ b/tests/test_callouts.py
@@ -15,7 +15,7 @@
 import trio.testing
 from fake_services import CUSTOMER, echo, entry, rpc, settings, surroundings
 
-from oakfork.errors import Break
+from oakfork.errors import ConnectionFailedError
 from oakfork.interface import Status
 from oakfork.sockets import server_connections as network
 from oakfork.sockets.decision_loop import Keeper
@@ -48,7 +48,7 @@
         with trio.CancelScope(deadline=trio.current_time() + patience):
             await up.wait()
             return Link(ours, h11.CLIENT, largest)
-        raise Break(Ending.NEVER_UP)
+        raise ConnectionFailedError(Ending.NEVER_UP)
 
     def ask(self, number, lane="read", **more):
         fields = {"X-Txn": str(number), "X-Lane": lane, "X-Tier": "free", "X-Remaining-Ms": "2000", "Host": "a"} | more
@@ -58,7 +58,10 @@
             headers=[*fields.items(), ("Idempotency-Key", "k")],
         )
         exchange = Exchange(
-            Message(head, b""), self.here.names, self.here.birth, lambda answer: self.answers.setdefault(number, answer)
+            Message(head, b""),
+            self.here.names,
+            self.here.settings,
+            lambda answer: self.answers.setdefault(number, answer),
         )
         self.asked_until = exchange.until
         tell(self.queue, Came(exchange))
@@ -149,7 +152,7 @@
         assert written(one)[1] is cancel  # its connection is closed only where that is allowed
         one.sendall(ANSWER) if not cancel else None
         await rig.settle()
-        assert not rig.keeper.door.rpcs and len(rig.wanted) == 2
+        assert not rig.keeper.index_table.rpcs and len(rig.wanted) == 2
 
     Rig(tmp_path, monkeypatch, limits={"cancel": cancel}).play(test)
 
@@ -199,8 +202,8 @@
     listed = [LISTED[0] | {"started_ms": time.time() * 1000}]
 
     async def test(rig):
-        server = rig.keeper.brain.servers.all[0]
-        pause = rig.keeper.brain.servers.pause(server) / 10_000
+        server = rig.keeper.module.servers.all[0]
+        pause = rig.keeper.module.servers.pause(server) / 10_000
         assert pause > 0.1
         await trio.sleep(pause)
         rig.ask(1)
@@ -245,7 +248,7 @@
         _, up, theirs = rig.wanted[0]
         up.set()
         await rig.settle()
-        server = next(iter(rig.keeper.brain.rpcs.values())).out[0]
+        server = next(iter(rig.keeper.module.rpcs.values())).out[0]
         rig.servers.close_idle(server)
         theirs.sendall(ANSWER)
         await rig.settle()
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -14,7 +14,7 @@
 from lab_worlds import ROOT
 
 from oakfork.cli import main
-from oakfork.errors import ScaleError
+from oakfork.errors import MeasurementError
 from oakfork.lab.scale import (
     budget as budgets,
     capacity_control,
@@ -116,16 +116,16 @@
 def test_every_marker_has_a_table_and_every_table_a_marker(tmp_path):
     text, found = PAGE.read_text(), capacity_tables.tables(stored(tmp_path))
     assert set(capacity_tables.names_in(text)) == found.keys()
-    with pytest.raises(ScaleError, match="zone"):
+    with pytest.raises(MeasurementError, match="zone"):
         capacity_tables.written(text.replace("table: zone", "table: zones"), found)
-    with pytest.raises(ScaleError, match="peak"):
+    with pytest.raises(MeasurementError, match="peak"):
         capacity_tables.written(text, {name: table for name, table in found.items() if name != "peak"})
     for broken in (
         text.replace("<!-- end of table -->", "", 1),
         text.replace("<!-- table: zone -->", "", 1),
         text + "\n<!-- table: zone -->\n<!-- end of table -->\n",
     ):
-        with pytest.raises(ScaleError, match="twice"):
+        with pytest.raises(MeasurementError, match="twice"):
             capacity_tables.written(broken, found)
 
 
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -158,7 +158,7 @@
 
 def test_random_heads_are_read_or_named_bad(tmp_path):
     async def main():
-        return Exchange(Message(head, b""), here.names, here.birth, print)
+        return Exchange(Message(head, b""), here.names, here.settings, print)
 
     chance, here = random.Random(5), surroundings(tmp_path)
     good = {"x-lane": b"read", "x-tier": b"free", "x-txn": b"1", "x-remaining-ms": b"5", "x-call-terms": b"units=2"}
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -4,11 +4,11 @@
 import random
 
 import pytest
-from gateway_network import birth, entry
+from gateway_network import entry, gateway_settings
 
-from oakfork import interface as face
-from oakfork.decision import Brain
-from oakfork.interface import SECOND, State, Status
+from oakfork import interface
+from oakfork.decision import DecisionModule
+from oakfork.interface import SECOND, ServerState, Status
 
 WORK = 1_000  # tenths of a millisecond: the mean work of an RPC here, and its latency at an idle server
 CORES = 3
@@ -19,7 +19,7 @@
     """The settings' rule, counted for each server over all gateways: N is what it can do in that time at the end of it,
     by its slowest ramp, times the multiple that the settings allow."""
 
-    def __init__(self, told: face.Birth) -> None:
+    def __init__(self, told: interface.GatewaySettings) -> None:
         self.told, self.times, self.worst = told, {}, 0.0
 
     def reached(self, server: int, since: int, now: int) -> None:
@@ -43,47 +43,49 @@
                 fall_time=3 * SECOND,
                 cold_share=0.25,
                 cold_time=18 * SECOND,
-                mail_per_s=100.0,
+                peer_frames_per_s=100.0,
                 probing=False,
             )
             | more
         )
-        self.truth = {server: (State.READY, 0) for server in range(8)}
-        self.checker = Checker(birth(**self.settings))
-        self.brains, self.wakes, self.events = [], [], []
+        self.truth = {server: (ServerState.READY, 0) for server in range(8)}
+        self.checker = Checker(gateway_settings(**self.settings))
+        self.modules, self.wakes, self.events = [], [], []
         self.now, self.rpc, self.ok = START, 0, 0
         for index in range(30):
-            self.brains.append(None)
+            self.modules.append(None)
             self.launch(index)
 
     def launch(self, index: int) -> None:
         """With the list as it is now, as one that has just been asked for."""
         self.events = [event for event in self.events if event[1] != index]
-        self.brains[index] = Brain(birth(index, 30, self.dice.getrandbits(60), **self.settings), self.now)
+        self.modules[index] = DecisionModule(
+            gateway_settings(index, 30, self.dice.getrandbits(60), **self.settings), self.now
+        )
         self.give(index, self.whole())
 
-    def whole(self) -> face.ServerList:
-        return face.ServerList(True, False, tuple(entry(s, *at) for s, at in self.truth.items()))
+    def whole(self) -> interface.ServerList:
+        return interface.ServerList(True, False, tuple(entry(s, *at) for s, at in self.truth.items()))
 
     def give(self, index: int, event) -> None:
-        for command in self.brains[index].handle(self.now, event):
-            if isinstance(command, face.Wake):
-                self.events.append((self.now + command.after, index, face.TimeCame(command.token)))
-            elif isinstance(command, face.Tell) and self.dice.random() > 0.05:
+        for command in self.modules[index].handle(self.now, event):
+            if isinstance(command, interface.SetTimer):
+                self.events.append((self.now + command.after, index, interface.TimerFired(command.token)))
+            elif isinstance(command, interface.SendPeerFrame) and self.dice.random() > 0.05:
                 self.events.append(
-                    (self.now + self.dice.randint(10, 400), command.peer, face.PeerFrame(index, command.data))
+                    (self.now + self.dice.randint(10, 400), command.peer, interface.PeerFrame(index, command.data))
                 )
-            elif isinstance(command, face.Probe):
+            elif isinstance(command, interface.ProbeServer):
                 self.checker.reached(command.server, 0, self.now)
-                self.events.append((self.now + 15, index, face.ProbeEnded(command.server, Status.OK, 15, ())))
-            elif isinstance(command, face.Send):
+                self.events.append((self.now + 15, index, interface.ProbeEnded(command.server, Status.OK, 15, ())))
+            elif isinstance(command, interface.SendCallOut):
                 self.checker.reached(command.server, self.truth[command.server][1], self.now)
                 took = int(WORK * self.dice.uniform(0.4, 1.6))
                 self.events.append(
                     (
                         self.now + took,
                         index,
-                        face.CallOutEnded(command.rpc, 0, command.server, took, Status.OK, True, 0, ()),
+                        interface.CallOutEnded(command.rpc, 0, command.server, took, Status.OK, True, 0, ()),
                     )
                 )
 
@@ -99,14 +101,14 @@
             for index in range(30):
                 if self.dice.random() < each * 0.002:
                     self.rpc += 1
-                    self.give(index, face.Arrival(self.rpc, self.rpc, 0, 0, 1.0, index, 1, 60_000, False))
+                    self.give(index, interface.RpcArrived(self.rpc, self.rpc, 0, 0, 1.0, index, 1, 60_000, False))
 
     def start(self, server: int, late: int) -> None:
         """A server starts; each gateway is told within `late`."""
-        self.truth[server] = State.READY, self.now
+        self.truth[server] = ServerState.READY, self.now
         for index in range(30):
             at = self.now + self.dice.randint(0, late)
-            self.events.append((at, index, face.ServerList(False, False, (entry(server, *self.truth[server]),))))
+            self.events.append((at, index, interface.ServerList(False, False, (entry(server, *self.truth[server]),))))
 
 
 @pytest.mark.parametrize("seed", range(2))
@@ -140,8 +142,8 @@
 
 def test_the_checker_finds_gateways_that_do_not_share(monkeypatch):
     tier = Tier(1)
-    for brain in tier.brains:
-        brain.servers.among = 1
+    for module in tier.modules:
+        module.servers.among = 1
     monkeypatch.setattr("oakfork.decision.servers.Servers.pause", lambda servers, server: 1)
     tier.run(1)
     with pytest.raises(AssertionError):
--- a/tests/test_contracts.py
+++ b/tests/test_contracts.py
@@ -14,7 +14,7 @@
 from oakfork.contracts import allocation, contracts_file as books, runner, shares
 from oakfork.contracts.admission import BACK, SECOND, Gate, Tenant, fitting
 from oakfork.contracts.runner import Contracts, key_of_site
-from oakfork.errors import BookError
+from oakfork.errors import ContractsFileError
 from oakfork.fleet import config as fleetfile
 from oakfork.fleet.transport import Post
 from oakfork.leases.durations import Lengths
@@ -93,7 +93,7 @@
     ],
 )
 def test_a_book_that_is_not_is_refused_with_the_place_or_the_instant(told, place):
-    with pytest.raises(BookError) as refused:
+    with pytest.raises(ContractsFileError) as refused:
         books.checked(told)
     assert any(fault.startswith(place) for fault in refused.value.faults), refused.value.faults
 
@@ -107,7 +107,7 @@
         "daily_from": "03:30",
         "daily_until": "05:00",
     }
-    with pytest.raises(BookError, match="2027-02-21T03:30"):
+    with pytest.raises(ContractsFileError, match="2027-02-21T03:30"):
         books.checked(changed(contract__0__legs_per_s=150.0, contract__1__window=[late]))
 
 
--- a/tests/test_control_change_schema.py
+++ b/tests/test_control_change_schema.py
@@ -14,7 +14,7 @@
 from oakfork.control import change_schema, config as files, connections, records
 from oakfork.control.messages import Kind, Row, Verdict, pack, unpack_down
 from oakfork.control.state import Records, as_changes, summed
-from oakfork.errors import ChangeError, ControlError
+from oakfork.errors import ChangeSetError, ControlConfigError
 
 SERVICE = {
     "name": "search",
@@ -95,7 +95,7 @@
         b" " * (change_schema.LARGEST_CHANGE + 1),
         random.Random(1).randbytes(change_schema.LARGEST_SUBMITTED + 1),
     ):
-        with pytest.raises(ChangeError):
+        with pytest.raises(ChangeSetError):
             change_schema.submitted(data)
 
 
@@ -289,11 +289,11 @@
         ("[bounds]", "[bounds", "the file"),
     ):
         (tmp_path / "f.toml").write_text(text.replace(old, new, 1))
-        with pytest.raises(ControlError) as caught:
+        with pytest.raises(ControlConfigError) as caught:
             read(tmp_path / "f.toml")
         place = place or {"publisher": "listen", "relay": "upstreams[0]"}[name]
         assert place in {fault.split(": ")[0] for fault in caught.value.faults}
-    with pytest.raises(ControlError):
+    with pytest.raises(ControlConfigError):
         read(tmp_path / "none.toml")
 
 
--- a/tests/test_control_services.py
+++ b/tests/test_control_services.py
@@ -20,7 +20,7 @@
 from oakfork.control.database import Database
 from oakfork.control.messages import VERSION, Hello, Kind, Position, pack
 from oakfork.control.processes import publisher_engine
-from oakfork.errors import DatabaseError, PublisherSilent
+from oakfork.errors import DatabaseError, PublisherTimeoutError
 from oakfork.sockets.configuration import address
 
 
@@ -203,7 +203,7 @@
             it.database.uncommit = failing
 
         async def submit():
-            with pytest.raises(PublisherSilent) if fails else nullcontext():
+            with pytest.raises(PublisherTimeoutError) if fails else nullcontext():
                 verdicts.append(await client.publish(it.publisher_at, "one", json.dumps(trial.EXAMPLE).encode(), 2.0))
 
         async with trio.open_nursery() as nursery:
--- a/tests/test_decision_loop.py
+++ b/tests/test_decision_loop.py
@@ -12,9 +12,9 @@
 import trio.testing
 from fake_services import CUSTOMER, StandIn, surroundings
 
-from oakfork import interface as face
-from oakfork.decision import Brain
-from oakfork.errors import Break
+from oakfork import interface
+from oakfork.decision import DecisionModule
+from oakfork.errors import ConnectionFailedError
 from oakfork.interface import NEVER_RAN, Status
 from oakfork.sockets import configuration
 from oakfork.sockets.counter_client import Counter, _result as counter_result
@@ -35,7 +35,7 @@
 @contextmanager
 def keeper(tmp_path, monkeypatch, handle):
     """A keeper whose module is a stand-in; yields a function that runs a task beside it on a clock of its own."""
-    monkeypatch.setattr(Brain, "handle", handle)
+    monkeypatch.setattr(DecisionModule, "handle", handle)
 
     def play(task):
         async def main():
@@ -54,21 +54,21 @@
 
 
 def test_timers_come_once_soon_and_on_a_clock_that_never_goes_back(tmp_path, monkeypatch):
-    def handle(brain, now, event):
+    def handle(module, now, event):
         seen.append(now)
-        if isinstance(event, face.TimeCame):
+        if isinstance(event, interface.TimerFired):
             late.append(now - wanted.pop(event.token))
         commands = []
         for _ in range(chance.randrange(3) if len(seen) < 600 else 0):
             token, after = len(seen) * 10 + len(commands), chance.choice([0, 1, 3, 40, 500, 5000])
             wanted[token] = now + after
-            commands.append(face.Wake(token, after))
+            commands.append(interface.SetTimer(token, after))
         return commands
 
     async def task(kept, queue):
         for _ in range(200):
             await trio.sleep(chance.random() * 0.02)
-            await queue.send(face.PeerFrame(0, b""))
+            await queue.send(interface.PeerFrame(0, b""))
         await trio.sleep(5)
 
     chance, seen, wanted, late = random.Random(3), [], {}, []
@@ -79,10 +79,10 @@
 
 
 def test_a_decision_that_fails_costs_its_own_rpc_only(tmp_path, monkeypatch):
-    def handle(brain, now, event):
-        if isinstance(event, face.Arrival) and event.units == 2:
+    def handle(module, now, event):
+        if isinstance(event, interface.RpcArrived) and event.units == 2:
             raise ZeroDivisionError
-        return [face.PushBack(event.rpc, 0)] if isinstance(event, face.Arrival) else []
+        return [interface.PushBack(event.rpc, 0)] if isinstance(event, interface.RpcArrived) else []
 
     async def task(kept, queue):
         for units in (1, 2, 1):
@@ -99,11 +99,11 @@
                 ],
             )
             exchange = Exchange(
-                Message(head, b""), kept.here.names, kept.here.birth, lambda answer: statuses.append(answer.status)
+                Message(head, b""), kept.here.names, kept.here.settings, lambda answer: statuses.append(answer.status)
             )
             await queue.send(Came(exchange))
             await trio.sleep(0.1)
-        assert not kept.door.rpcs and kept.door.free == [0]
+        assert not kept.index_table.rpcs and kept.index_table.free_rpc_indices == [0]
 
     statuses = []
     with keeper(tmp_path, monkeypatch, handle) as play:
@@ -130,7 +130,7 @@
                 if number == 5:  # SIGHUP: the old one is still there, and has an open connection
                     counter.turn_to(configuration.address(other.address))
                 await trio.sleep(0.1)
-                assert counter.count(face.Count(number, -2.5, 40_000))
+                assert counter.count(interface.AddToCounter(number, -2.5, 40_000))
                 with trio.fail_after(2):
                     answers.append(await inbox.receive())
             nursery.cancel_scope.cancel()
@@ -199,7 +199,7 @@
             link = Link(ours, h11.SERVER)
             ours.setblocking(False)
             link.close()
-            with pytest.raises(Break) as end:
+            with pytest.raises(ConnectionFailedError) as end:
                 await link.drain([memoryview(b"x")])
             assert end.value.ending == Ending.UNSENT
 
@@ -215,7 +215,7 @@
             for _ in range(4):
                 try:
                     links.append(await connect(full.getsockname(), 0.1))
-                except Break as end:
+                except ConnectionFailedError as end:
                     ended = end.ending
             for link in links:
                 link.close()
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -11,11 +11,11 @@
 import structlog
 import trio
 import trio.testing
-from gateway_network import birth
+from gateway_network import gateway_settings
 
-from oakfork import interface as face
-from oakfork.decision import Brain
-from oakfork.errors import Break
+from oakfork import interface
+from oakfork.decision import DecisionModule
+from oakfork.errors import ConnectionFailedError
 from oakfork.interface import SECOND
 from oakfork.sockets import discovery as watches
 from oakfork.sockets.messages import Listed
@@ -26,7 +26,10 @@
 
 def here_of(address, **more):
     values = dict(
-        discovery=address, known={"version": 1}, connect_patience=0.25, birth=SimpleNamespace(asks_list=False, seed=5)
+        discovery=address,
+        known={"version": 1},
+        connect_patience=0.25,
+        settings=SimpleNamespace(subscribes_to_list=False, seed=5),
     )
     return SimpleNamespace(**(values | more))
 
@@ -178,10 +181,10 @@
     async def connect(address, patience):
         way = kind if trio.current_time() < back[0] else "up"
         if way == "refuses":
-            raise Break(Ending.REFUSED)
+            raise ConnectionFailedError(Ending.REFUSED)
         if way == "away":
             await trio.sleep(patience)
-            raise Break(Ending.NEVER_UP)
+            raise ConnectionFailedError(Ending.NEVER_UP)
         await trio.sleep(min(patience, 0.4) if slow else 0.0)
         line = Line()
         line.silent = False
@@ -210,17 +213,21 @@
 def test_where_lists_are_asked_for_a_refused_call_is_made_again_in_time_under_any_settings(seed):
     chance = random.Random(seed)
     patience = int(chance.choice((0.3, 1, 4, 10, 40)) * SECOND)
-    brain, now, pauses = Brain(birth(asks_list=True, list_patience=patience, seed=seed), 0), 0, []
-    commands = brain.handle(0, face.ServerList(True, True, ()))
+    module, now, pauses = (
+        DecisionModule(gateway_settings(subscribes_to_list=True, list_timeout=patience, seed=seed), 0),
+        0,
+        [],
+    )
+    commands = module.handle(0, interface.ServerList(True, True, ()))
     for _ in range(12):
         refused, asked_again = now, False
         while not asked_again:
-            wakes = [command for command in commands if isinstance(command, face.Wake)]
+            wakes = [command for command in commands if isinstance(command, interface.SetTimer)]
             now += wakes[0].after
-            commands = brain.handle(now, face.TimeCame(0))
-            asked_again = any(isinstance(command, face.Subscribe) for command in commands)
+            commands = module.handle(now, interface.TimerFired(0))
+            asked_again = any(isinstance(command, interface.SubscribeToList) for command in commands)
         pauses.append(now - refused)
-        commands = brain.handle(now, face.ServerList(False, True, ()))
+        commands = module.handle(now, interface.ServerList(False, True, ()))
     # A connection that is slow to come up, and a call that waits, are still to come.
     most = (watches.TOLD - watches.UP - watches.HOLD - watches.PROMPT) * SECOND
     assert max(pauses) < most and (patience < SECOND or max(pauses) > SECOND)
--- a/tests/test_drills.py
+++ b/tests/test_drills.py
@@ -14,7 +14,7 @@
 from gateway_network import arrival
 from lab_worlds import ROOT
 
-from oakfork import interface as face
+from oakfork import interface
 from oakfork.lab import fault_schedule
 from oakfork.lab.contract_drill import CAPACITY, RESERVED, contract_drill
 from oakfork.lab.fault_schedule import HOLDER, Trouble
@@ -135,11 +135,13 @@
     """The module learns that one thing; what it draws by chance and all its tables are the same."""
     plain, told = gateway(servers=9), gateway(servers=9)
     plain.let_in = told.let_in = 0.0
-    assert kinds(plain.handle(0, arrival(1, 1))) == [face.PushBack]
-    assert kinds(told.handle(0, arrival(1, 1)._replace(reserved=True))) == [face.Send]
-    assert plain.desk.chance != told.desk.chance  # it went on, to a choice of server
+    assert kinds(plain.handle(0, arrival(1, 1))) == [interface.PushBack]
+    assert kinds(told.handle(0, arrival(1, 1)._replace(reserved=True))) == [interface.SendCallOut]
+    assert plain.context.chance != told.context.chance  # it went on, to a choice of server
     quota = gateway()
-    sent = [face.Send in kinds(quota.handle(100, arrival(rpc)._replace(reserved=True))) for rpc in range(12)]
+    sent = [
+        interface.SendCallOut in kinds(quota.handle(100, arrival(rpc)._replace(reserved=True))) for rpc in range(12)
+    ]
     assert sent == [True] * 8 + [False] * 4  # the customer's quota holds as ever
 
 
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -75,10 +75,10 @@
     discovery.shutdown()
     discovery.server_close()
     line = json.loads(done.stderr.splitlines()[0])
-    assert done.returncode == errors.AddressTaken.status and line["todo"] == errors.AddressTaken.todo
+    assert done.returncode == errors.AddressInUseError.status and line["todo"] == errors.AddressInUseError.todo
 
 
 def test_faults_stand_on_a_line_each_and_what_to_do_once():
     one, two = errors.ExperimentError(["a: bad"]), errors.ExperimentError(["a: bad", "b: worse"])
-    assert errors.lines(one, "f.toml") == f"f.toml: a: bad; {one.todo}"
-    assert errors.lines(two, "f.toml").splitlines() == ["f.toml: a: bad", "f.toml: b: worse", two.todo]
+    assert errors.error_lines(one, "f.toml") == f"f.toml: a: bad; {one.todo}"
+    assert errors.error_lines(two, "f.toml").splitlines() == ["f.toml: a: bad", "f.toml: b: worse", two.todo]
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -4,11 +4,11 @@
 from collections import Counter
 
 import pytest
-from gateway_network import World, arrival, birth, entry
+from gateway_network import World, arrival, entry, gateway_settings
 
-from oakfork import interface as face
-from oakfork.decision import Brain
-from oakfork.interface import SECOND, State, Status
+from oakfork import interface
+from oakfork.decision import DecisionModule
+from oakfork.interface import SECOND, ServerState, Status
 
 CORES = 3  # of a server here; the module is told of none
 WORK = 1_650  # usual length of a call-out here
@@ -17,11 +17,11 @@
 class Fleet(World):
     """A tier whose servers are replaced, lost and back cold, with a discovery that is asked, late, or overbooked."""
 
-    def __init__(self, seed: int, gateways: int = 40, servers: int = 24, asks_list: bool = True) -> None:
-        self.asks_list = asks_list
-        self.truth = {server: (State.READY, 0) for server in range(servers)}
+    def __init__(self, seed: int, gateways: int = 40, servers: int = 24, subscribes_to_list: bool = True) -> None:
+        self.subscribes_to_list = subscribes_to_list
+        self.truth = {server: (ServerState.READY, 0) for server in range(servers)}
         self.known = [dict(self.truth) for _ in range(gateways)]  # what each had last, also through a restart
-        self.subscribed = [not asks_list] * gateways
+        self.subscribed = [not subscribes_to_list] * gateways
         self.lost: set[int] = set()  # servers that say nothing
         self.bad: set[int] = set()  # servers that fail most call-outs
         self.cuts: set[tuple[int, int]] = set()  # frames from the one never reach the other
@@ -32,35 +32,35 @@
 
     def launch(self, index: int) -> None:
         self.end_life(index)
-        told = birth(
+        told = gateway_settings(
             index,
             self.count,
             self.dice.getrandbits(64),
             probing=True,
-            asks_list=self.asks_list,
+            subscribes_to_list=self.subscribes_to_list,
             probe_price=0.08,
             connection_price=0.08,
-            mail_per_s=100.0,
-            list_patience=10 * SECOND,
+            peer_frames_per_s=100.0,
+            list_timeout=10 * SECOND,
         )
-        self.brains[index] = Brain(told, self.now)
-        self.subscribed[index] = not self.asks_list
+        self.modules[index] = DecisionModule(told, self.now)
+        self.subscribed[index] = not self.subscribes_to_list
         self.told[index] = {}
-        self.give(index, face.ServerList(True, False, tuple(entry(s, *at) for s, at in self.known[index].items())))
+        self.give(index, interface.ServerList(True, False, tuple(entry(s, *at) for s, at in self.known[index].items())))
 
     def give(self, index: int, event) -> None:
         if callable(event):
             event(index)
         else:
-            if isinstance(event, face.ServerList):
+            if isinstance(event, interface.ServerList):
                 self.known[index].update({e.server: (e.state, e.up_since) for e in event.entries})
             super().give(index, event)
 
     def carry_out(self, index: int, command) -> None:
-        if isinstance(command, face.Subscribe):
+        if isinstance(command, interface.SubscribeToList):
             if self.now < self.silent_until or self.dice.random() < 0.2:
                 self.refused += 1
-                self.later(self.dice.choice((50, 50, 50, 20_000)), index, face.ServerList(False, True, ()))
+                self.later(self.dice.choice((50, 50, 50, 20_000)), index, interface.ServerList(False, True, ()))
             else:
                 self.later(self.dice.randint(50, 15_000), index, self.list_whole)
         else:
@@ -70,10 +70,12 @@
         self.subscribed[index] = True
         self.give(
             index,
-            face.ServerList(True, False, tuple(entry(s, *at) for s, at in self.truth.items() if at[0] != State.GONE)),
+            interface.ServerList(
+                True, False, tuple(entry(s, *at) for s, at in self.truth.items() if at[0] != ServerState.GONE)
+            ),
         )
 
-    def change(self, server: int, state: State, since: int = 0) -> None:
+    def change(self, server: int, state: ServerState, since: int = 0) -> None:
         """Tells those that are subscribed, each late in its own time."""
         self.truth[server] = state, since
         for index in range(self.count):
@@ -82,7 +84,7 @@
                     self.dice.randint(100, 8_000),
                     index,
                     lambda index: self.give(
-                        index, face.ServerList(False, False, (entry(server, *self.truth[server]),))
+                        index, interface.ServerList(False, False, (entry(server, *self.truth[server]),))
                     ),
                 )
 
@@ -90,13 +92,13 @@
         return (sender, receiver) not in self.cuts
 
     def probed(self, server: int) -> tuple[int, int]:
-        if self.truth[server][0] == State.GONE:
+        if self.truth[server][0] == ServerState.GONE:
             return 9, Status.CONNECT_FAILED
         return (2_500, Status.TIMED_OUT) if server in self.lost else (self.dice.choice((9, 9, 30, 200)), Status.OK)
 
     def reached(self, server: int, status: Status, took: int, left: int) -> tuple[Status, int]:
         state, since = self.truth[server]
-        if state == State.GONE:
+        if state == ServerState.GONE:
             return Status.CONNECT_FAILED, 9
         if server in self.lost:
             return Status.TIMED_OUT, left
@@ -123,13 +125,13 @@
 
     def replace(self, share: float, within: int) -> None:
         """Takes out so many of the servers, one after the other, each for a new one that starts cold."""
-        ready = [server for server, (state, _) in self.truth.items() if state == State.READY]
+        ready = [server for server, (state, _) in self.truth.items() if state == ServerState.READY]
         for server in self.dice.sample(ready, int(len(ready) * share)):
             at, new = self.dice.randrange(within), len(self.truth)
-            self.truth[new] = State.GONE, 0  # its number is taken
-            self.at(at, lambda server=server: self.change(server, State.DRAINING))
-            self.at(at + SECOND, lambda new=new: self.change(new, State.READY, self.now))
-            self.at(at + 2 * SECOND, lambda server=server: self.change(server, State.GONE))
+            self.truth[new] = ServerState.GONE, 0  # its number is taken
+            self.at(at, lambda server=server: self.change(server, ServerState.DRAINING))
+            self.at(at + SECOND, lambda new=new: self.change(new, ServerState.READY, self.now))
+            self.at(at + 2 * SECOND, lambda server=server: self.change(server, ServerState.GONE))
 
     def at(self, after: int, act) -> None:
         """Has the world itself do something, whichever gateway is up."""
@@ -179,26 +181,26 @@
     assert sum(fleet.subscribed) >= 34
     fleet.run(24, 20)
     assert all(fleet.subscribed)
-    gone = {server for server, (state, _) in fleet.truth.items() if state == State.GONE}
-    assert not any(gone & set(brain.servers.ready) for brain in fleet.brains)
+    gone = {server for server, (state, _) in fleet.truth.items() if state == ServerState.GONE}
+    assert not any(gone & set(module.servers.ready) for module in fleet.modules)
     late = fleet.run(4)
     assert late["ok"] > 3 * late["aborted"] and late["ok"] > 20
 
 
 @pytest.mark.parametrize("seed", range(3))
 def test_a_zone_is_lost_whole_and_back_cold_with_a_bad_server_among_the_rest(seed):
-    fleet = Fleet(seed, asks_list=False)
+    fleet = Fleet(seed, subscribes_to_list=False)
     fleet.bad.add(1)
     fleet.run(3)
     zone = [server for server in fleet.truth if server % 2 == 0]
     fleet.lost.update(zone)
     fleet.run(4)
     for server in zone:  # told late that they were gone, and soon after that they are back
-        fleet.change(server, State.GONE)
+        fleet.change(server, ServerState.GONE)
     fleet.run(1)
     fleet.lost.clear()
     for server in zone:
-        fleet.change(server, State.READY, fleet.now)
+        fleet.change(server, ServerState.READY, fleet.now)
     fleet.run(8)
     assert sum(map(len, fleet.cold.values())) > 20
     after = fleet.run(4)
@@ -207,7 +209,7 @@
 
 @pytest.mark.parametrize("seed", range(3))
 def test_six_in_ten_servers_are_replaced_within_seconds(seed):
-    fleet = Fleet(seed, asks_list=bool(seed % 2))
+    fleet = Fleet(seed, subscribes_to_list=bool(seed % 2))
     fleet.run(3)
     fleet.replace(0.6, 7 * SECOND)
     fleet.run(12)
@@ -218,14 +220,14 @@
 
 @pytest.mark.parametrize("seed", range(3))
 def test_gateways_that_hold_different_lists_of_servers_and_of_each_other(seed):
-    fleet = Fleet(seed, asks_list=False)
+    fleet = Fleet(seed, subscribes_to_list=False)
     dice = fleet.dice
     fleet.cuts = {(a, b) for a in range(40) for b in range(40) if dice.random() < 0.3}  # most one-way
     for index in range(40):  # each has a part of the servers, and one that nobody else has heard of
         for server in dice.sample(range(24), 10):
-            fleet.give(index, face.ServerList(False, False, (entry(server, State.GONE),)))
-        fleet.truth[100 + index] = State.READY, fleet.now
-        fleet.give(index, face.ServerList(False, False, (entry(100 + index, State.READY, fleet.now),)))
+            fleet.give(index, interface.ServerList(False, False, (entry(server, ServerState.GONE),)))
+        fleet.truth[100 + index] = ServerState.READY, fleet.now
+        fleet.give(index, interface.ServerList(False, False, (entry(100 + index, ServerState.READY, fleet.now),)))
     answers = fleet.run(10)
     assert answers["ok"] > 100
 
@@ -240,12 +242,16 @@
 
     def give(self, index: int, event) -> None:
         keys, before = (), self.answers["ok"]
-        if isinstance(event, face.Arrival | face.CallOutEnded):
+        if isinstance(event, interface.RpcArrived | interface.CallOutEnded):
             self.begun = self.now if self.begun is None else self.begun
-            ask = event if isinstance(event, face.Arrival) else self.rpcs[index, self.lives[index], event.rpc]["ask"]
+            ask = (
+                event
+                if isinstance(event, interface.RpcArrived)
+                else self.rpcs[index, self.lives[index], event.rpc]["ask"]
+            )
             third = min(2, (self.now - self.begun) // self.thirds)
             keys = ("method", ask.method), ("customer", ask.customer), ("third", third)
-        if isinstance(event, face.Arrival):
+        if isinstance(event, interface.RpcArrived):
             self.asked.update(keys)
         super().give(index, event)
         self.ok.update(keys if self.answers["ok"] > before else ())
@@ -253,7 +259,7 @@
 
 @pytest.mark.parametrize("seed", range(2))
 def test_each_method_customer_and_third_gets_its_share(seed):
-    fleet = Shares(seed, gateways=12, asks_list=False)
+    fleet = Shares(seed, gateways=12, subscribes_to_list=False)
     fleet.bad.add(1)
     fleet.run(60, 30)
     whole = sum(fleet.ok.values()) / sum(fleet.asked.values())
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -7,9 +7,9 @@
 import pytest
 from lab_worlds import QUICK, told, world
 
-from oakfork import interface as face
-from oakfork.decision import Brain
-from oakfork.interface import SECOND, Repeat
+from oakfork import interface
+from oakfork.decision import DecisionModule
+from oakfork.interface import SECOND, RepeatSafety
 from oakfork.lab import experiment as files
 from oakfork.lab.baseline_policies import POLICIES, Baseline
 from oakfork.lab.compare import interval
@@ -68,7 +68,7 @@
     """A customer that asks for far more gets burst + rate x time, within two units, whichever gateway it asks."""
     for seed in range(3):
         one = world(
-            Brain,
+            DecisionModule,
             seed,
             seconds=20,
             gateways=3,
@@ -100,23 +100,27 @@
                 "size": size,
             }
         )
-    one = world(Brain, seed, seconds=8, zones=2, gateways=6, faults=faults)
+    one = world(DecisionModule, seed, seconds=8, zones=2, gateways=6, faults=faults)
     result = one.run()
     assert not result["broken"], result["lines"]
     assert result["taken"] > 200 and not one.checker.rpcs
     live = [gateway for gateway in one.gateways if gateway.up]
-    assert not any(gateway.exchanges or any(gateway.door.tickets) for gateway in live), "an RPC was left at a gateway"
+    assert not any(
+        gateway.exchanges or any(gateway.index_table.rpc_entries) for gateway in live
+    ), "an RPC was left at a gateway"
 
 
 def test_an_rpc_whose_client_gives_up_on_the_way_is_not_taken():
     """Guards the checker: nothing is owed for what arrives after its deadline."""
     late = QUICK | {"soft_ms": 150, "deadline_ms": 150}
-    result = world(Brain, seconds=4, methods=[late], links__client_ms=120).run()
+    result = world(DecisionModule, seconds=4, methods=[late], links__client_ms=120).run()
     assert result["sums"]["given up on the way"] > 20 and result["taken"] > 20 and not result["broken"], result["lines"]
 
 
 def test_a_killed_gateway_leaves_no_timer_and_no_call_out_behind():
-    one = world(Brain, 3, seconds=4, faults=[{"kind": "kill_gateways", "at_s": 2, "until_s": 60, "share": 1.0}])
+    one = world(
+        DecisionModule, 3, seconds=4, faults=[{"kind": "kill_gateways", "at_s": 2, "until_s": 60, "share": 1.0}]
+    )
     came = []
     one.loop.at(
         SECOND + 2 * SECOND + 1,
@@ -131,26 +135,30 @@
 class Bad(Baseline):
     """A baseline that breaks one rule on purpose."""
 
-    def __init__(self, birth, now, rule):
-        super().__init__(birth, now, "random", "none")
+    def __init__(self, settings, now, rule):
+        super().__init__(settings, now, "random", "none")
         self.rule, self.told = rule, []
 
     def handle(self, now, event):
-        if isinstance(event, face.ServerList):
-            self.told += [entry.server for entry in event.entries if entry.state != face.State.READY]
+        if isinstance(event, interface.ServerList):
+            self.told += [entry.server for entry in event.entries if entry.state != interface.ServerState.READY]
             self.cold = [entry.server for entry in event.entries if entry.up_since] or getattr(self, "cold", [])
         commands = list(super().handle(now, event))
         match self.rule:
             case "silent":
-                return [c for c in commands if isinstance(c, face.Wake)]
-            case "twice" if isinstance(event, face.CallOutEnded) and event.status == face.Status.OK:
-                return [*commands, face.PushBack(event.rpc, 0)]
+                return [c for c in commands if isinstance(c, interface.SetTimer)]
+            case "twice" if isinstance(event, interface.CallOutEnded) and event.status == interface.Status.OK:
+                return [*commands, interface.PushBack(event.rpc, 0)]
             case "drains" if self.told:
-                return [c._replace(server=self.told[0]) if isinstance(c, face.Send) else c for c in commands]
+                return [
+                    c._replace(server=self.told[0]) if isinstance(c, interface.SendCallOut) else c for c in commands
+                ]
             case "cold" if self.cold:
-                return [c._replace(server=self.cold[0]) if isinstance(c, face.Send) else c for c in commands]
+                return [
+                    c._replace(server=self.cold[0]) if isinstance(c, interface.SendCallOut) else c for c in commands
+                ]
             case "effects":
-                return [again for c in commands for again in ([c, c] if isinstance(c, face.Send) else [c])]
+                return [again for c in commands for again in ([c, c] if isinstance(c, interface.SendCallOut) else [c])]
         return commands
 
 
@@ -186,9 +194,9 @@
     ],
 )
 def test_a_policy_that_breaks_a_rule_is_caught(rule, broken, changes):
-    result = world(lambda birth, now: Bad(birth, now, rule), seconds=6, **changes).run()
+    result = world(lambda settings, now: Bad(settings, now, rule), seconds=6, **changes).run()
     assert result["broken"].get(broken), result["broken"]
-    assert not world(Brain, seconds=6, **changes).run()["broken"].get(broken)
+    assert not world(DecisionModule, seconds=6, **changes).run()["broken"].get(broken)
 
 
 def test_a_second_answer_is_caught():
@@ -211,7 +219,7 @@
 
 def test_a_repeat_outside_its_group_or_time_is_caught():
     one = world()
-    method = replace(one.plan.methods[0], repeat=Repeat.DEDUPLICATED, group="cell", remembered=100)
+    method = replace(one.plan.methods[0], repeat=RepeatSafety.DEDUPLICATED, group="cell", deduplication_time=100)
     for group, sent_at, caught in ((1, 50, False), (2, 50, True), (1, 150, True)):
         one.checker.broken.clear()
         watched = replace(_watched(one), method=method, ran=[])
--- a/tests/test_lists.py
+++ b/tests/test_lists.py
@@ -10,7 +10,7 @@
 import trio.testing
 from fake_services import Discovery, echo, entry, rpc, settings, until
 
-from oakfork.errors import Break
+from oakfork.errors import ConnectionFailedError
 from oakfork.sockets import discovery as watches
 from oakfork.sockets.outcomes import Ending
 
@@ -82,14 +82,16 @@
     """Guards against tens of gateways that ask ten times a second and leave discovery no time for any of them."""
 
     async def asked(seed):
-        here = SimpleNamespace(discovery=("127.0.0.1", 1), known={}, birth=SimpleNamespace(asks_list=False, seed=seed))
+        here = SimpleNamespace(
+            discovery=("127.0.0.1", 1), known={}, settings=SimpleNamespace(subscribes_to_list=False, seed=seed)
+        )
         watcher, times = watches.Discovery(here, None, structlog.get_logger()), []
 
         async def refused():
             times.append(trio.current_time())
             if len(times) == 12:  # one that succeeds and then breaks
                 watcher.pause = watches.PAUSE
-            raise Break(Ending.ERROR)
+            raise ConnectionFailedError(Ending.ERROR)
 
         monkeypatch.setattr(watcher, "_watch", refused)
         with trio.move_on_after(60):
@@ -159,7 +161,7 @@
     async def connect(address, patience):
         attempts.append(trio.current_time())
         if len(attempts) % 9:  # discovery is away for long, so that the pauses have grown
-            raise Break(Ending.REFUSED)
+            raise ConnectionFailedError(Ending.REFUSED)
         await trio.sleep(patience - 0.001)
         return Silent(len(attempts) // 9 % 3)
 
@@ -168,7 +170,7 @@
             discovery=("127.0.0.1", 1),
             known={"version": 1},
             connect_patience=0.25,
-            birth=SimpleNamespace(asks_list=False, seed=5),
+            settings=SimpleNamespace(subscribes_to_list=False, seed=5),
         )
         monkeypatch.setattr(watches, "connect", connect)
         with trio.move_on_after(400):
--- a/tests/test_module_state_machine.py
+++ b/tests/test_module_state_machine.py
@@ -1,7 +1,7 @@
 """The decision module under drawn settings and drawn acts, the five rules checked by the world after every step."""
 
 import pytest
-from gateway_network import PLANS, World, arrival, birth, entry
+from gateway_network import PLANS, World, arrival, entry, gateway_settings
 from hypothesis import HealthCheck, settings, strategies as st
 from hypothesis.stateful import (
     RuleBasedStateMachine,
@@ -11,10 +11,10 @@
     rule,
 )
 
-from oakfork import interface as face
-from oakfork.decision import Brain
-from oakfork.decision.context import Desk
-from oakfork.interface import SECOND, Method, Repeat, State
+from oakfork import interface
+from oakfork.decision import DecisionModule
+from oakfork.decision.context import DecisionContext
+from oakfork.interface import SECOND, Method, RepeatSafety, ServerState
 
 DEADLINES = st.sampled_from([(1_500, 4_500), (4_000, 9_000), (8_000, 30_000)])
 
@@ -23,7 +23,7 @@
 def methods(draw):
     """Any effect, groups of all kinds, windows from a fifth of a second, deadlines from half a second."""
     made = []
-    for repeat in draw(st.lists(st.sampled_from(list(Repeat)), min_size=1, max_size=4)):
+    for repeat in draw(st.lists(st.sampled_from(list(RepeatSafety)), min_size=1, max_size=4)):
         soft, deadline = draw(DEADLINES)
         made.append(
             Method(
@@ -48,12 +48,12 @@
         cancel=st.booleans(),
         probing=st.booleans(),
         copies=st.booleans(),
-        asks_list=st.booleans(),
+        subscribes_to_list=st.booleans(),
         most=st.integers(1, 6),
         seed=st.integers(0, 1 << 60),
         late=st.sampled_from([(0, 4_000, 15_000), (0, 300), (0,)]),
     )
-    def begin(self, methods, cancel, probing, copies, asks_list, most, late, seed):
+    def begin(self, methods, cancel, probing, copies, subscribes_to_list, most, late, seed):
         self.world = World(
             seed,
             3,
@@ -62,7 +62,7 @@
             methods=methods,
             cancel=cancel,
             second_copies=copies,
-            asks_list=asks_list,
+            subscribes_to_list=subscribes_to_list,
             max_call_outs=most,
         )
         self.world.late = late
@@ -100,7 +100,7 @@
         keys = sorted(self.world.rpcs)
         index, _, rpc = keys[which % len(keys)]
         if not self.world.rpcs[keys[which % len(keys)]]["over"]:
-            self.world.give(index, face.ClientGone(rpc))
+            self.world.give(index, interface.ClientDisconnected(rpc))
 
     @rule(gateway=st.integers(0, 2))
     def a_gateway_restarts(self, gateway):
@@ -108,7 +108,7 @@
 
     @rule(
         server=st.integers(0, 5),
-        state=st.sampled_from((State.DRAINING, State.GONE, State.READY)),
+        state=st.sampled_from((ServerState.DRAINING, ServerState.GONE, ServerState.READY)),
         fresh=st.booleans(),
         told=st.sets(st.integers(0, 2), min_size=1),
     )
@@ -121,17 +121,19 @@
         ]
         server = connecting[server % len(connecting)] if connecting else server
         for gateway in told:
-            self.world.give(gateway, face.ServerList(False, False, (entry(server, state, self.world.now * fresh),)))
+            self.world.give(
+                gateway, interface.ServerList(False, False, (entry(server, state, self.world.now * fresh),))
+            )
 
     @rule(gateway=st.integers(0, 2), kept=st.sets(st.integers(0, 5)))
     def a_whole_list_names_some(self, gateway, kept):
         told = self.world.told[gateway]
-        listed = tuple(entry(server, *told.get(server, (State.READY, 0))) for server in sorted(kept))
-        self.world.give(gateway, face.ServerList(True, False, listed))
+        listed = tuple(entry(server, *told.get(server, (ServerState.READY, 0))) for server in sorted(kept))
+        self.world.give(gateway, interface.ServerList(True, False, listed))
 
     @rule(gateway=st.integers(0, 2))
     def a_call_for_the_list_fails(self, gateway):
-        self.world.give(gateway, face.ServerList(False, True, ()))
+        self.world.give(gateway, interface.ServerList(False, True, ()))
 
     @rule()
     def messages_are_cut_or_not(self):
@@ -139,10 +141,10 @@
 
     @invariant()
     def tables_hold_what_is_open(self):
-        for index, brain in enumerate(self.world.brains if hasattr(self, "world") else ()):
+        for index, module in enumerate(self.world.modules if hasattr(self, "world") else ()):
             life = self.world.lives[index]
             open_here = sum(key[:2] == (index, life) for key in self.world.rpcs)
-            assert len(brain.rpcs) <= open_here and len(brain.quotas.buckets) <= 12 * 3
+            assert len(module.rpcs) <= open_here and len(module.quotas.buckets) <= 12 * 3
 
     def teardown(self):
         if not hasattr(self, "world"):
@@ -150,7 +152,7 @@
         self.time_goes_on(70_000)
         assert all(known["over"] for known in self.world.rpcs.values()), "rule 1: left without an answer"
         assert not any(known["out"] for known in self.world.rpcs.values())
-        assert not any(brain.rpcs for brain in self.world.brains)
+        assert not any(module.rpcs for module in self.world.modules)
 
 
 Tier.TestCase.settings = settings(
@@ -162,23 +164,25 @@
 @pytest.mark.parametrize(
     "broken",
     [
-        lambda commands: [c for c in commands if not isinstance(c, face.Recall)],
-        lambda commands: [c._replace(written_by=0) if isinstance(c, face.Send) else c for c in commands],
+        lambda commands: [c for c in commands if not isinstance(c, interface.CancelIfUnsent)],
+        lambda commands: [
+            c._replace(write_deadline=0) if isinstance(c, interface.SendCallOut) else c for c in commands
+        ],
     ],
 )
 def test_the_world_finds_modules_that_do_not_look_again(monkeypatch, broken):
     """A checker that can't fail proves nothing: without a recall, or without an end of the window, it finds a fault."""
 
     def play(seed):
-        short = Method(8_000, 30_000, Repeat.DEDUPLICATED, "all", 4_000, 1.0, 0.0, False)
+        short = Method(8_000, 30_000, RepeatSafety.DEDUPLICATED, "all", 4_000, 1.0, 0.0, False)
         world = World(seed, 3, 6, probing=True, methods=(short, short), cancel=False)
         world.late = (0, 3_000, 15_000)
         world.play(12, 60)
 
     for seed in range(3):
         play(seed)
-    finish = Desk.finish
-    monkeypatch.setattr(Desk, "finish", lambda desk: broken(finish(desk)))
+    finish = DecisionContext.finish
+    monkeypatch.setattr(DecisionContext, "finish", lambda context: broken(finish(context)))
     with pytest.raises(AssertionError, match="rule|gone"):
         for seed in range(30):
             play(seed)
@@ -187,11 +191,11 @@
 def test_one_plans_terms_say_nothing_of_anothers():
     """A customer whose RPCs name another plan, or other terms, is judged by those, and the first one's bucket is not
     clamped, refilled or spent by them."""
-    brain = Brain(birth(), 0)
-    brain.handle(0, face.ServerList(True, False, (entry(0), entry(1))))
+    module = DecisionModule(gateway_settings(), 0)
+    module.handle(0, interface.ServerList(True, False, (entry(0), entry(1))))
     kinds = []
     for rpc, plan in enumerate([0] * 9 + [1] + [2] * 4):  # plan 0 holds eight, plan 2 three at once
-        commands = brain.handle(SECOND + rpc, arrival(rpc, 7, plan=plan))
-        kinds.append("ok" if any(isinstance(c, face.Send) for c in commands) else "pushed back")
+        commands = module.handle(SECOND + rpc, arrival(rpc, 7, plan=plan))
+        kinds.append("ok" if any(isinstance(c, interface.SendCallOut) for c in commands) else "pushed back")
     assert kinds == ["ok"] * 8 + ["pushed back"] + ["ok"] + ["ok"] * 3 + ["pushed back"]
-    assert brain.quotas.buckets[7, 0].tokens < 0.1 and brain.quotas.buckets[7, 2].tokens == pytest.approx(27, abs=0.1)
+    assert module.quotas.buckets[7, 0].tokens < 0.1 and module.quotas.buckets[7, 2].tokens == pytest.approx(27, abs=0.1)
--- a/tests/test_page_lists.py
+++ b/tests/test_page_lists.py
@@ -15,7 +15,7 @@
 import trio.testing
 from fake_services import CUSTOMER, entry, settings, surroundings
 
-from oakfork.errors import Break
+from oakfork.errors import ConnectionFailedError
 from oakfork.sockets import discovery as watches, gateway, server_connections as network
 from oakfork.sockets.decision_loop import Keeper
 from oakfork.sockets.discovery import TOLD, Discovery
@@ -55,10 +55,10 @@
 
     async def connect(self, patience):
         if self.way == "refuses":
-            raise Break(Ending.REFUSED)
+            raise ConnectionFailedError(Ending.REFUSED)
         if self.way == "away":
             await trio.sleep(patience)
-            raise Break(Ending.NEVER_UP)
+            raise ConnectionFailedError(Ending.NEVER_UP)
         self.lines.append(Watch(self))
         return self.lines[-1]
 
@@ -93,7 +93,7 @@
                 self.silent = True  # for good, also where the agent comes back
                 await trio.sleep_forever()
             if self.ended:
-                raise Break(Ending.ENDED)
+                raise ConnectionFailedError(Ending.ENDED)
             if agent.way == "busy":
                 return Message(h11.Response(status_code=503, headers=[]), b"")
             if self.since is None or self.since < agent.version or trio.current_time() >= until:
@@ -190,7 +190,7 @@
                 Exchange(
                     Message(head, b""),
                     self.here.names,
-                    self.here.birth,
+                    self.here.settings,
                     lambda answer: asked.answers.append((trio.current_time(), answer.status)),
                 )
             ),
--- a/tests/test_page_tier.py
+++ b/tests/test_page_tier.py
@@ -9,9 +9,9 @@
 from test_cold import Tier
 from test_page_lists import ROWS, Agent, Play, answer, drains
 
-from oakfork import interface as face
-from oakfork.errors import Break
-from oakfork.interface import SECOND, State
+from oakfork import interface
+from oakfork.errors import ConnectionFailedError
+from oakfork.interface import SECOND, ServerState
 from oakfork.sockets.outcomes import Ending
 
 SPELL, LEAST = 4.0, 15  # a gateway serves nobody: seconds on end, and requests of them all turned away
@@ -23,13 +23,13 @@
     """Thirty gateways, three times the usual requests; the news comes to each within two seconds."""
     tier = Tier(seed, **more)
     tier.run(2)
-    tier.truth[0] = State.GONE, 0
+    tier.truth[0] = ServerState.GONE, 0
     for index in range(30):
         tier.events.append(
             (
                 tier.now + tier.dice.randint(0, SECOND // 2),
                 index,
-                face.ServerList(False, False, (listed(0, State.GONE),)),
+                interface.ServerList(False, False, (listed(0, ServerState.GONE),)),
             )
         )
     tier.run(1)
@@ -63,7 +63,7 @@
 
     async def before(server, patience):
         if server >= 10:
-            raise Break(Ending.REFUSED)
+            raise ConnectionFailedError(Ending.REFUSED)
 
     async def test(play):
         agent.rows.clear()
@@ -110,7 +110,7 @@
         async with trio.open_nursery() as nursery:
             nursery.start_soon(ask)
             await trio.sleep(begin + seconds)
-            let_in.append(play.keeper.brain.let_in)
+            let_in.append(play.keeper.module.let_in)
             await trio.sleep(8)
             nursery.cancel_scope.cancel()
         idle.append(serves_nobody(play))
@@ -139,10 +139,10 @@
     async def before(self, server, patience):
         way = self.chance.random()
         if way < self.bad / 6:
-            raise Break(Ending.REFUSED)
+            raise ConnectionFailedError(Ending.REFUSED)
         if way < self.bad / 3:
             await trio.sleep(patience)
-            raise Break(Ending.NEVER_UP)
+            raise ConnectionFailedError(Ending.NEVER_UP)
         await trio.sleep(self.chance.choice((0.0, 0.0, self.bad * 0.2)))
 
     async def act(self, line):
@@ -153,7 +153,9 @@
         if way < 0.65:
             await trio.sleep(self.chance.uniform(0.2, 3))
         elif way < 0.9:
-            raise Break(self.chance.choice((Ending.BROKEN, Ending.ENDED, Ending.MALFORMED, Ending.STALLED)))
+            raise ConnectionFailedError(
+                self.chance.choice((Ending.BROKEN, Ending.ENDED, Ending.MALFORMED, Ending.STALLED))
+            )
         elif way < 1:
             return answer(line, 503, (b"x-turned-away", b"1")) if way < 0.95 else answer(line, 500)
         return answer(line)
@@ -189,7 +191,7 @@
         assert play.statuses() == {200, 502, 503}
         trouble.bad = 0.0
         await trio.sleep(2)
-        assert not play.keeper.door.rpcs and not play.keeper.brain.rpcs
+        assert not play.keeper.index_table.rpcs and not play.keeper.module.rpcs
         assert play.servers.open == sum(map(len, play.servers.idle.values()))
 
     agent, trouble, chance = Agent(), Trouble(seed), random.Random(seed + 100)
--- a/tests/test_port_allocator.py
+++ b/tests/test_port_allocator.py
@@ -9,7 +9,7 @@
 import pytest
 from lab_worlds import ROOT
 
-from oakfork.errors import RigError
+from oakfork.errors import DrillProcessError
 from oakfork.lab.port_allocator import BLOCK, Ports, free_places, text
 
 RANGE = 9_000, 9_000 + 4 * BLOCK  # of these tests alone: below the range that all others take from
@@ -36,7 +36,7 @@
         ]
         ports = [port for process in asked for port in process.stdout.readline().split()]
         assert len(ports) == len(set(ports)) == 400
-        with pytest.raises(RigError, match="claimed"):
+        with pytest.raises(DrillProcessError, match="claimed"):
             Ports(*RANGE)
     ours = Ports(*RANGE)  # all have ended, and nothing of their claims is left
     ours.claim.close()
@@ -52,7 +52,7 @@
         taken.bind(("127.0.0.1", first[-1][1] + 1))
         then = ours.free(5, socket.SOCK_STREAM)
         assert len(set(first + then)) == 10 and taken.getsockname() not in then
-        with pytest.raises(RigError, match="free"):
+        with pytest.raises(DrillProcessError, match="free"):
             ours.free(20, socket.SOCK_STREAM)
 
 
--- a/tests/test_scale_added_latency.py
+++ b/tests/test_scale_added_latency.py
@@ -35,7 +35,7 @@
     "oakfork.sockets.peers.Peers.tell": "plain",
     "oakfork.decision.quotas.Quotas.received": "plain",
     "oakfork.decision.quotas.Quotas.admit": "generator",
-    "oakfork.decision.rpcs.Brain._look": "generator",
+    "oakfork.decision.rpcs.DecisionModule._look": "generator",
 }
 
 
@@ -128,9 +128,9 @@
     quotas = SimpleNamespace(owner=lambda ask: (2, 3))
     wrapped = trace._waits(traced_gateway.ADMISSION, traced_gateway.PACE)(admit)
     record = Record("a", traced_gateway.perf_counter_ns())
-    for door in (None, SimpleNamespace(tickets=[SimpleNamespace(true_id=SimpleNamespace(record=record))])):
+    for index_table in (None, SimpleNamespace(rpc_entries=[SimpleNamespace(global_id=SimpleNamespace(record=record))])):
         log.clear()
-        trace.door = door
+        trace.index_table = index_table
         run = wrapped(quotas, rpc)
         assert (run.send(None), run.send("x")) == (1, 2)
         with pytest.raises(StopIteration) as end:
@@ -257,7 +257,7 @@
 
 def customer_of(owner, gateways):
     """The first customer whose owner is this one."""
-    quotas = SimpleNamespace(birth=SimpleNamespace(gateways=gateways))
+    quotas = SimpleNamespace(settings=SimpleNamespace(gateways=gateways))
     return next(
         customer
         for customer in range(999)
--- a/tests/test_scale_frames.py
+++ b/tests/test_scale_frames.py
@@ -98,10 +98,10 @@
     for whole in (True, False):
         network = peer_frames.all_reply(gateways, whole)
         if whole:
-            others = [brain for index, brain in network.brains.items() if index]
-            assert all(peer.life for brain in others for peer in brain.links.peers.values()), "not all had met"
+            others = [module for index, module in network.modules.items() if index]
+            assert all(peer.life for module in others for peer in module.links.peers.values()), "not all had met"
         network.run(60)
-        assert all(peer.life for peer in network.brains[0].links.peers.values())
+        assert all(peer.life for peer in network.modules[0].links.peers.values())
         told.append((network.sent, network.received))
     assert told[0] == told[1]
 
@@ -112,7 +112,7 @@
         network = peer_frames.all_reply(12, whole)
         network.run(60)
         network.count_anew()
-        customer = next(c for c in range(999) if network.brains[0].quotas.owner(network.arrival(c))[0])
+        customer = next(c for c in range(999) if network.modules[0].quotas.owner(network.arrival(c))[0])
         network.ask(customer)
         network.run(5)
         assert (network.ok, network.not_sent_on) == (1, 0)
--- a/tests/test_scale_module.py
+++ b/tests/test_scale_module.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from oakfork import interface as face
+from oakfork import interface
 from oakfork.lab.scale import module_costs, module_driver as rig, reference_cost
 from oakfork.lab.scale.module_driver import Driven, Replay, Sizes
 from oakfork.lab.scale.reference_cost import (
@@ -84,20 +84,20 @@
 
 def test_a_driven_module_is_at_rest():
     driven = Driven(FEW)
-    brain = driven.module
-    assert len(brain.servers.ready) == 24 and len(brain.quotas.buckets) == 20 and not brain.quotas.answers
-    assert [peer.life for peer in brain.links.peers.values()] == [rig.LIFE] * 3 and brain.links.first_life()
-    assert all(not bucket.leases for bucket in brain.quotas.buckets.values())
+    module = driven.module
+    assert len(module.servers.ready) == 24 and len(module.quotas.buckets) == 20 and not module.quotas.answers
+    assert [peer.life for peer in module.links.peers.values()] == [rig.LIFE] * 3 and module.links.first_life()
+    assert all(not bucket.leases for bucket in module.quotas.buckets.values())
 
 
 @pytest.mark.parametrize(
     "act, events, tells",
     [
-        (Driven.rpc_at_owner, {face.Arrival: 30, face.CallOutEnded: 30}, 0),
-        (Driven.rpc_that_asks, {face.Arrival: 30, face.CallOutEnded: 30, face.PeerFrame: 30}, 60),
-        (Driven.ask_served, {face.PeerFrame: 60}, 30),
-        (Driven.server_changed, {face.ServerList: 30}, 0),
-        (Driven.list_again, {face.ServerList: 30}, 0),
+        (Driven.rpc_at_owner, {interface.RpcArrived: 30, interface.CallOutEnded: 30}, 0),
+        (Driven.rpc_that_asks, {interface.RpcArrived: 30, interface.CallOutEnded: 30, interface.PeerFrame: 30}, 60),
+        (Driven.ask_served, {interface.PeerFrame: 60}, 30),
+        (Driven.server_changed, {interface.ServerList: 30}, 0),
+        (Driven.list_again, {interface.ServerList: 30}, 0),
     ],
 )
 def test_a_unit_is_what_it_says(act, events, tells):
@@ -108,18 +108,20 @@
     replay = Replay(FEW, driven.script)
     replay.advance(first)
     commands = [command for told in replay.told for command in told]
-    kinds = [type(event) for _, event in driven.script[first:last] if not isinstance(event, face.TimeCame)]
+    kinds = [type(event) for _, event in driven.script[first:last] if not isinstance(event, interface.TimerFired)]
     assert {kind: kinds.count(kind) for kind in set(kinds)} == events
-    sent = [type(command) for command in commands if not isinstance(command, face.Wake)]
-    assert sent.count(face.Tell) == tells and sent.count(face.Send) == events.get(face.CallOutEnded, 0)
-    assert set(sent) <= {face.Tell, face.Send}
+    sent = [type(command) for command in commands if not isinstance(command, interface.SetTimer)]
+    assert sent.count(interface.SendPeerFrame) == tells and sent.count(interface.SendCallOut) == events.get(
+        interface.CallOutEnded, 0
+    )
+    assert set(sent) <= {interface.SendPeerFrame, interface.SendCallOut}
     assert len(driven.module.quotas.buckets) == 20 and not driven.module.quotas.slices and not driven.module.rpcs
 
 
 def test_asks_go_to_all_peers_in_turn():
     driven = Driven(FEW, kept=True)
     first = driven.play(Driven.rpc_that_asks, 30)[0]
-    senders = [event.sender for _, event in driven.script[first:] if isinstance(event, face.PeerFrame)]
+    senders = [event.sender for _, event in driven.script[first:] if isinstance(event, interface.PeerFrame)]
     assert {senders.count(peer) for peer in (1, 2, 3)} == {10}
 
 
--- a/tests/test_scale_process.py
+++ b/tests/test_scale_process.py
@@ -8,7 +8,7 @@
 import pytest
 
 from oakfork.configuration_schema import faults_in
-from oakfork.errors import RigError
+from oakfork.errors import DrillProcessError
 from oakfork.lab.scale import process_costs
 from oakfork.sockets import configuration
 
@@ -50,7 +50,10 @@
     with closing(socket.socket()) as taken:
         taken.bind(configuration.address(told["listen"]))
         path = written(tmp_path, told)
-        with process_costs.child(path) as child, pytest.raises(RigError, match="an address of its own can't be had"):
+        with (
+            process_costs.child(path) as child,
+            pytest.raises(DrillProcessError, match="an address of its own can't be had"),
+        ):
             process_costs.wait_ready(child, told["listen"], process_costs.log_of(path))
 
 
@@ -58,7 +61,7 @@
     monkeypatch.setattr(process_costs, "READY", 0.0)
     told = process_costs.configuration(1, 3)
     path = written(tmp_path, told)
-    with process_costs.child(path) as child, pytest.raises(RigError, match="was not ready"):
+    with process_costs.child(path) as child, pytest.raises(DrillProcessError, match="was not ready"):
         process_costs.wait_ready(child, told["listen"], process_costs.log_of(path))
     assert child.returncode is not None
 
@@ -67,8 +70,10 @@
     told = process_costs.configuration(1000, 300)
     assert not faults_in(told)
     here = configuration.read({"LB_CONFIG": str(written(tmp_path, told))})
-    assert len(here.peers) == len(set(here.peers)) == here.birth.gateways == 300 and here.peers[0] == here.peer_listen
-    assert len({row["addr"] for row in here.known["servers"]}) == 1000 and not here.birth.probing
+    assert (
+        len(here.peers) == len(set(here.peers)) == here.settings.gateways == 300 and here.peers[0] == here.peer_listen
+    )
+    assert len({row["addr"] for row in here.known["servers"]}) == 1000 and not here.settings.probing
     hosts = {configuration.address(row["addr"])[0] for row in here.known["servers"]} | {host for host, _ in here.peers}
     assert all(host.startswith("127.") for host in hosts)
 
--- a/tests/test_scale_slopes.py
+++ b/tests/test_scale_slopes.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from oakfork.errors import ScaleError
+from oakfork.errors import MeasurementError
 from oakfork.lab.scale.slopes import FEWEST, Measure, line_of, load, store
 
 SIZES = (100, 1000, 4000, 10_000, 41_000)
@@ -139,7 +139,7 @@
     ],
 )
 def test_fewer_than_four_sizes_with_a_value_and_sizes_out_of_order_are_refused(points):
-    with pytest.raises(ScaleError, match="at least 4 sizes"):
+    with pytest.raises(MeasurementError, match="at least 4 sizes"):
         Measure("a", "bytes", "servers", points)
 
 
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from oakfork import interface as face
+from oakfork import interface
 from oakfork.simulator_adapter import codec
 from oakfork.simulator_adapter.host import Host, serve
 
@@ -103,7 +103,7 @@
         batch(1001.0, context(0), bytes((codec.EXIT,)), launch(2), discovery(0), gone, accept(2)),
         host=host,
     )
-    assert struct.pack("<BQ", 70, 2) in replies[1] and list(host.instances[0].door.rpcs) == [2]
+    assert struct.pack("<BQ", 70, 2) in replies[1] and list(host.instances[0].index_table.rpcs) == [2]
 
 
 def test_the_index_of_an_rpc_is_used_again():
@@ -117,12 +117,12 @@
     for rpc in range(200):
         at = 2000.0 + rpc * 300
         run(batch(at, context(0), accept(rpc)), batch(at + 50, context(0), ok(rpc)), host=host)
-    assert len(host.instances[0].door.tickets) <= 2 and not host.instances[0].door.rpcs
+    assert len(host.instances[0].index_table.rpc_entries) <= 2 and not host.instances[0].index_table.rpcs
 
 
 def test_a_failing_module_becomes_a_bailout_that_names_it():
     class Broken:
-        def __init__(self, birth, now):
+        def __init__(self, settings, now):
             pass
 
         def handle(self, now, event):
@@ -163,14 +163,14 @@
     host, wire = (
         Host(),
         (  # the wire page's worked examples, where it has them
-            (face.Tell(65535, b"hi 7"), "8cffff040068692037"),
-            (face.Subscribe(), "3201"),
-            (face.ReadList(), "0a"),
-            (face.Note("two servers known"), "3c110074776f2073657276657273206b6e6f776e"),
-            (face.Wake(77, 5000), "644d000000000000000000000000407f40"),
-            (face.Probe(0), "1e0a0000002823"),
-            (face.CloseIdle(0), "280a0000002823"),
-            (face.Count(0x89F690, 4.0, 30_000), "8290f689000000000000008040000000000070a740"),
+            (interface.SendPeerFrame(65535, b"hi 7"), "8cffff040068692037"),
+            (interface.SubscribeToList(), "3201"),
+            (interface.ReadServerList(), "0a"),
+            (interface.WriteLog("two servers known"), "3c110074776f2073657276657273206b6e6f776e"),
+            (interface.SetTimer(77, 5000), "644d000000000000000000000000407f40"),
+            (interface.ProbeServer(0), "1e0a0000002823"),
+            (interface.CloseIdleConnections(0), "280a0000002823"),
+            (interface.AddToCounter(0x89F690, 4.0, 30_000), "8290f689000000000000008040000000000070a740"),
         ),
     )
     run(batch(1.0, context(0), launch(), manifest(0, 1), discovery(0)), host=host)
