--- a/experiments/contract_model.py
+++ b/experiments/contract_model.py
@@ -11,14 +11,14 @@
 from scipy import stats
 
 from oakfork.lab.compare import interval
-from oakfork.lab.contract_model import WAYS, Model, Result
+from oakfork.lab.contract_model import WAYS, ContractModel, Result
 
 SEEDS, SECONDS, RATE = 8, 30, 400.0
 
 
 def play(job: tuple[str, int, float, int, int]) -> Result:
     way, gateways, loss, seed, kill_at = job
-    return Model(way, gateways, RATE, loss, seed, kill_at).run(SECONDS)
+    return ContractModel(way, gateways, RATE, loss, seed, kill_at).run(SECONDS)
 
 
 def told(values: list[float]) -> str:
--- a/experiments/control_codec.py
+++ b/experiments/control_codec.py
@@ -45,7 +45,7 @@
             Kind.SERVER,
             f"server-{number:05}",
             records.Server(
-                records.packed_address(f"{host}:{chance.choice((8080, 8443))}"),
+                records.pack_address(f"{host}:{chance.choice((8080, 8443))}"),
                 f"zone-{number // ZONE:02}",
                 chance.choice(("small", "large")),
                 number // 40,
@@ -83,7 +83,7 @@
 def put(kind: Kind, name: str, record: records.Record) -> tuple[Row, dict[str, Any]]:
     table = {field: getattr(record, field) for field in record.__struct_fields__}
     if kind is Kind.SERVER:
-        table |= {"addr": records.told_address(record.addr), "state": record.state.name.lower()}
+        table |= {"addr": records.unpack_address(record.addr), "state": record.state.name.lower()}
     if kind is Kind.SERVICE:
         table["methods"] = [
             {field: getattr(method, field) for field in method.__struct_fields__}
--- a/experiments/fleet_codec.py
+++ b/experiments/fleet_codec.py
@@ -5,10 +5,10 @@
 from functools import partial
 
 from oakfork.fleet import codec
-from oakfork.fleet.config import Edition
+from oakfork.fleet.config import FleetRevision
 from oakfork.leases.messages import Ask, Grant
 
-EDITION = Edition(3, 0x1234567890ABCDEF, 0xFEDCBA0987654321)
+EDITION = FleetRevision(3, 0x1234567890ABCDEF, 0xFEDCBA0987654321)
 HEAD, ASK, GRANT = struct.Struct("<BHIQQB"), struct.Struct("<BHHQQQI"), struct.Struct("<BHHQQQ")
 CASES = {"ask": Ask(1, 2, 1 << 61, 1_796_000_000_000, 12, 30_000), "grant": Grant(1, 2, 1 << 61, 1_796_000_000_000, 12)}
 
--- a/experiments/lease_model.py
+++ b/experiments/lease_model.py
@@ -10,13 +10,13 @@
 from scipy import stats
 
 from oakfork.lab.compare import interval
-from oakfork.lab.lease_model import Fleet, Result
+from oakfork.lab.lease_model import LeaseFleetModel, Result
 
 SEEDS, SECONDS, KILL_EVERY = 16, 600, 30 * 10_000
 
 
 def play(job: tuple[int, int, float, int]) -> Result:
-    return Fleet(*job).run(SECONDS, KILL_EVERY)
+    return LeaseFleetModel(*job).run(SECONDS, KILL_EVERY)
 
 
 def told(values: list[float]) -> str:
--- a/experiments/sockets_and_model.py
+++ b/experiments/sockets_and_model.py
@@ -14,8 +14,8 @@
 import trio
 
 from oakfork.lab import experiment as files
-from oakfork.lab.fake_services import DiscoveryStandIn, ServerStandIn, SocketTier, Work, entry
-from oakfork.lab.load_generator import Generator, Load, Report
+from oakfork.lab.fake_services import FakeDiscovery, FakeServer, ServerWorkload, SocketTier, entry
+from oakfork.lab.load_generator import LoadGenerator, LoadSettings, Report
 from oakfork.lab.sweep import play
 
 GATEWAYS, SERVERS, CORES, WORK_MS, SECONDS = 3, 8, 3, 60.0, 10.0
@@ -43,17 +43,17 @@
 
 
 async def _sockets(rate: float, seed: int, folder: Path) -> Report:
-    servers = [ServerStandIn(Work(WORK_MS / 1000, CORES, 30, seed * 100 + number)) for number in range(SERVERS)]
+    servers = [FakeServer(ServerWorkload(WORK_MS / 1000, CORES, 30, seed * 100 + number)) for number in range(SERVERS)]
     listed = [entry(number, server.address) for number, server in enumerate(servers)]
-    discovery = DiscoveryStandIn(listed)
+    discovery = FakeDiscovery(listed)
     tier = SocketTier(folder, GATEWAYS, discovery.address, listed, SETTINGS)
     async with trio.open_nursery() as nursery:
         for party in (*servers, discovery):
             nursery.start_soon(party.run)
         with tier.started():
             await tier.ready()
-            load = Load(tuple(tier.listens), rate, SECONDS, 200, 200, "GET", "read", "basic", 3000, seed)
-            report = await Generator(load).run()
+            load = LoadSettings(tuple(tier.listens), rate, SECONDS, 200, 200, "GET", "read", "basic", 3000, seed)
+            report = await LoadGenerator(load).run()
         nursery.cancel_scope.cancel()
     return report
 
--- a/oakfork/cli.py
+++ b/oakfork/cli.py
@@ -98,7 +98,7 @@
 def _faults(path: str) -> list[str]:
     """All that the schema or the gateway's own reading finds wrong in a configuration."""
     from oakfork.configuration_schema import faults_in
-    from oakfork.sockets.configuration import read
+    from oakfork.sockets.configuration import read_configuration
 
     try:
         told = json.loads(Path(path).read_bytes())
@@ -107,7 +107,7 @@
     if faults := faults_in(told):
         return faults
     try:
-        read({"LB_CONFIG": path})
+        read_configuration({"LB_CONFIG": path})
     except ConfigurationError as error:
         return [f"the file: {error}"]
     return []
@@ -372,10 +372,10 @@
 @click.option("--json", "as_json", is_flag=True, help="The result as JSON.")
 def lab_load(gateways: tuple[str, ...], as_json: bool, **told: Any) -> int:
     """Send an open-loop load to real gateways on loopback addresses, HOST:PORT each."""
-    from oakfork.lab.load_generator import Load, run
+    from oakfork.lab.load_generator import LoadSettings, run
 
     try:
-        report = run(Load(gateways=gateways, **told))
+        report = run(LoadSettings(gateways=gateways, **told))
     except LoadSettingsError as error:
         _refuse(error)
     click.echo(json.dumps(dataclasses.asdict(report)) if as_json else report.text())
--- a/oakfork/contracts/admission.py
+++ b/oakfork/contracts/admission.py
@@ -10,11 +10,11 @@
 from typing import NamedTuple
 
 SECOND = 10_000
-BACK = SECOND // 5  # lent capacity is back after that
+RECLAIM_TIME = SECOND // 5  # lent capacity is back after that
 THOUSAND = 1000
 
 
-class Verdict(NamedTuple):
+class AdmissionResult(NamedTuple):
     reserved: bool
     wait: int  # 0: it may go; otherwise after that, it could
 
@@ -40,7 +40,7 @@
     goes: int  # the highest goes first
 
 
-def fitting(tenants: dict[int, Tenant], whole: int) -> dict[int, Tenant]:
+def fit_to_capacity(tenants: dict[int, Tenant], whole: int) -> dict[int, Tenant]:
     """What is left of the parts where the sites can do less than is reserved: who goes first has the least."""
     left, fits = whole, {}
     for key, tenant in sorted(tenants.items(), key=lambda row: (row[1].goes, row[0])):
@@ -49,7 +49,7 @@
     return fits
 
 
-class Gate:
+class ContractAdmission:
     """One bucket a tenant, as many as contracts; `open` counts legs that are out. A bucket begins empty: a gateway
     that starts again grants no second burst."""
 
@@ -59,15 +59,15 @@
         self.open: dict[int, int] = {}
         self.born = now
 
-    def takes(
+    def admit(
         self, now: int, who: int | None, whole: int, tenants: dict[int, Tenant], legs: int = 1, site: int = 0
-    ) -> Verdict:
+    ) -> AdmissionResult:
         """One leg or more to a site, of one of the `tenants` in force there, or of anybody else (None). `whole` is what
         the site can do for this gateway, in thousandths of a leg a second."""
         cost = legs * THOUSAND
-        margin = sum(tenant.part for tenant in tenants.values()) * BACK / SECOND
+        margin = sum(tenant.part for tenant in tenants.values()) * RECLAIM_TIME / SECOND
         there = self.sites.setdefault(site, Bucket(0.0, self.born))
-        there.refill(now, whole, margin + max(THOUSAND * 2, whole * BACK / SECOND))
+        there.refill(now, whole, margin + max(THOUSAND * 2, whole * RECLAIM_TIME / SECOND))
         tenant = tenants.get(who) if who is not None else None
         if tenant is not None:
             bucket = self.buckets.setdefault(who, Bucket(0.0, self.born))
@@ -76,12 +76,12 @@
                 bucket.tokens -= cost
                 there.tokens = max(-tenant.burst * THOUSAND - margin, there.tokens - cost)
                 self.open[who] = self.open.get(who, 0) + legs
-                return Verdict(True, 0)
+                return AdmissionResult(True, 0)
         if there.tokens - cost < margin:  # beyond what is reserved a tenant is as all others are
             lacks = margin + cost - there.tokens
-            return Verdict(False, max(1, int(lacks * SECOND / max(1, whole))))
+            return AdmissionResult(False, max(1, int(lacks * SECOND / max(1, whole))))
         there.tokens -= cost
-        return Verdict(False, 0)
+        return AdmissionResult(False, 0)
 
     def over(self, who: int, legs: int = 1) -> None:
         """Reserved legs have ended."""
--- a/oakfork/contracts/allocation.py
+++ b/oakfork/contracts/allocation.py
@@ -10,14 +10,14 @@
 LEAST = 100  # thousandths of a leg a second: a smaller loan is not worth its messages
 
 
-class Deal(NamedTuple):
+class Allocation(NamedTuple):
     """What one gateway is told of one contract."""
 
     lends: int  # in all, at most
     borrows: tuple[tuple[int, int], ...]  # (lender, amount)
 
 
-def targets(even: Sequence[int], demand: Mapping[int, int]) -> list[int]:
+def target_shares(even: Sequence[int], demand: Mapping[int, int]) -> list[int]:
     """The part of each gateway; they sum to what the even parts sum to, or a few thousandths less. Who was not
     heard keeps its even part."""
     floor = [part - part * LENDABLE[0] // LENDABLE[1] for part in even]
@@ -31,9 +31,9 @@
     return [f + (w - f) * room // over for w, f in zip(want, fixed, strict=True)]
 
 
-def dealt(even: Sequence[int], demand: Mapping[int, int]) -> list[Deal]:
+def allocate(even: Sequence[int], demand: Mapping[int, int]) -> list[Allocation]:
     """Who lends to whom: the largest need first, from the largest surplus."""
-    aims = targets(even, demand)
+    aims = target_shares(even, demand)
     spare = {i: even[i] - aim for i, aim in enumerate(aims) if even[i] - aim >= LEAST and i in demand}
     needs = sorted(((aim - even[i], i) for i, aim in enumerate(aims) if aim - even[i] >= LEAST), reverse=True)
     lends, borrows = dict.fromkeys(range(len(even)), 0), {i: [] for i in range(len(even))}
@@ -46,4 +46,4 @@
             lends[lender], spare[lender], need = lends[lender] + amount, spare[lender] - amount, need - amount
             if spare[lender] < LEAST:
                 lenders.pop(0)
-    return [Deal(lends[i], tuple(borrows[i])) for i in range(len(even))]
+    return [Allocation(lends[i], tuple(borrows[i])) for i in range(len(even))]
--- a/oakfork/contracts/contracts_file.py
+++ b/oakfork/contracts/contracts_file.py
@@ -147,7 +147,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Book:
+class ContractsFile:
     sites: tuple[tuple[str, float], ...]
     contracts: tuple[Contract, ...]
     home: str  # the site of an ordinary RPC's one leg
@@ -157,18 +157,18 @@
         return sum(rate for _, rate in self.sites)
 
 
-def read(path: str | Path) -> Book:
+def read(path: str | Path) -> ContractsFile:
     """Reads and checks; raises ContractsFileError with every fault."""
     return checked(read_toml(path, LARGEST_FILE, ContractsFileError)[0])
 
 
-def checked(told: dict[str, Any]) -> Book:
+def checked(told: dict[str, Any]) -> ContractsFile:
     if faults := against(SCHEMA, told):
         raise ContractsFileError(faults)
     faults = []
     homes = [site["name"] for site in told["site"] if site.get("home")]
     faults += [f"site: {' and '.join(homes)} are both home"] if len(homes) > 1 else []
-    book = Book(
+    book = ContractsFile(
         tuple((site["name"], float(site["legs_per_s"])) for site in told["site"]),
         tuple(
             _contract(row, f"contract[{number}]", told, faults) for number, row in enumerate(told.get("contract", ()))
@@ -240,7 +240,7 @@
                     yield instant
 
 
-def _overbooked(book: Book) -> Iterator[str]:
+def _overbooked(book: ContractsFile) -> Iterator[str]:
     """The first instant at which some contracts have more reserved than the sites they may use can do with the
     largest of all sites lost."""
     largest = max(rate for _, rate in book.sites)
--- a/oakfork/contracts/shares.py
+++ b/oakfork/contracts/shares.py
@@ -9,7 +9,7 @@
 
 from typing import NamedTuple
 
-from oakfork.leases.durations import Lengths
+from oakfork.leases.durations import LeaseDurations
 
 LENDABLE = 9, 10  # of its even part: a tenth stays for a demand that comes at once
 MOST_LOANS = 64  # given or taken, a contract and gateway: those over are refused
@@ -21,7 +21,7 @@
     until: int  # on this gateway's clock
 
 
-class Part(NamedTuple):
+class Share(NamedTuple):
     even: int
     uses_from: int  # nothing before
     given: tuple[Loan, ...] = ()  # emptied as they end, at the next change
@@ -34,7 +34,7 @@
         return self.even - lent(self, now) + sum(loan.amount for loan in self.taken if now < loan.until)
 
 
-def even_part(rate: float, gateway: int, gateways: int) -> int:
+def even_share(rate: float, gateway: int, gateways: int) -> int:
     """The fixed parts; they sum to the rate in thousandths, rounded down."""
     return even(int(rate * 1000), gateway, gateways)
 
@@ -44,11 +44,11 @@
     return whole // gateways + (gateway < whole % gateways)
 
 
-def started(even: int, now: int, lengths: Lengths) -> Part:
-    return Part(even, now + lengths.stretched(lengths.longest))
+def initial_share(even: int, now: int, durations: LeaseDurations) -> Share:
+    return Share(even, now + durations.stretched(durations.longest))
 
 
-def lent(part: Part, now: int) -> int:
+def lent(part: Share, now: int) -> int:
     """For each borrower the largest loan that it may still count."""
     largest: dict[int, int] = {}
     for loan in part.given:
@@ -57,7 +57,7 @@
     return sum(largest.values())
 
 
-def lends(part: Part, now: int, borrower: int, amount: int, may: int, lengths: Lengths) -> tuple[Part, int]:
+def lends(part: Share, now: int, borrower: int, amount: int, may: int, durations: LeaseDurations) -> tuple[Share, int]:
     """Lends as much of the amount as it can spare; `may` is what the deal lets it lend in all. 0 is a refusal."""
     given = tuple(loan for loan in part.given if now < loan.until)
     others = lent(part._replace(given=tuple(loan for loan in given if loan.other != borrower)), now)
@@ -65,15 +65,15 @@
     amount = min(amount, most)
     if amount <= 0 or now < part.uses_from or len(given) >= MOST_LOANS:
         return part._replace(given=given), 0
-    until = now + lengths.stretched(lengths.lease)
+    until = now + durations.stretched(durations.lease)
     # Of this borrower's loans, those that are neither larger nor longer than another say nothing more.
     kept = tuple(loan for loan in given if loan.other != borrower or loan.amount > amount or loan.until > until)
     return part._replace(given=(*kept, Loan(borrower, amount, until))), amount
 
 
-def borrowed(part: Part, now: int, lender: int, amount: int, asked_at: int, lengths: Lengths) -> Part:
+def borrowed(part: Share, now: int, lender: int, amount: int, asked_at: int, durations: LeaseDurations) -> Share:
     """What a lender has lent, counted from when it was asked; it takes the place of the loan before it."""
-    until = asked_at + lengths.lease
+    until = asked_at + durations.lease
     taken = tuple(loan for loan in part.taken if now < loan.until and loan.other != lender)
     before = max((loan.until for loan in part.taken if loan.other == lender), default=0)
     if amount <= 0 or until <= max(now, before) or len(taken) >= MOST_LOANS:
--- a/oakfork/control/change_schema.py
+++ b/oakfork/control/change_schema.py
@@ -271,7 +271,7 @@
 
 
 def _record(kind: Kind, item: Mapping[str, Any]) -> records.Record:
-    number = records.amount
+    number = records.parse_amount
     if kind is Kind.SERVICE:
         return records.Service(
             tuple(
@@ -286,7 +286,7 @@
         )
     if kind is Kind.SERVER:
         return records.Server(
-            records.packed_address(item["addr"]),
+            records.pack_address(item["addr"]),
             item["zone"],
             item["kind"],
             int(item["cell"]),
@@ -302,7 +302,7 @@
     )
 
 
-class Index:
+class StateIndex:
     """What is looked up to find contradictions without going through the state: who names a service, whose an address
     is and a route's match. Built once of a state and told of each change set in force; as large as the state."""
 
@@ -410,6 +410,6 @@
     return paths
 
 
-def contradictions(store: Records, rows: Sequence[Row], index: Index | None = None) -> list[str]:
+def contradictions(store: Records, rows: Sequence[Row], index: StateIndex | None = None) -> list[str]:
     """As Index.contradictions; without an index one is built for this once, which goes through the whole state."""
-    return (index or Index(store)).contradictions(rows)
+    return (index or StateIndex(store)).contradictions(rows)
--- a/oakfork/control/client.py
+++ b/oakfork/control/client.py
@@ -7,13 +7,13 @@
 import trio
 
 from oakfork.control.change_schema import submitted
-from oakfork.control.connections import Link, connect
+from oakfork.control.connections import FrameConnection, connect
 from oakfork.control.messages import Ask, Goodbye, Message, Status, Submit, Verdict, pack, unpack_down
 from oakfork.errors import ConnectionFailedError, PublisherTimeoutError
-from oakfork.sockets.outcomes import Ending
+from oakfork.sockets.outcomes import Outcome
 
-ANSWER = 10.0  # seconds for one answer
-PATIENCE = 30.0  # for all of them
+ANSWER_TIMEOUT = 10.0  # seconds for one answer
+DEFAULT_TIMEOUT = 30.0  # for all of them
 PAUSE, LONGEST_PAUSE = 0.25, 2.0  # between two askings, doubles
 
 Answer = TypeVar("Answer", bound=Message)
@@ -29,20 +29,20 @@
             found.append(message)
             link.over("answered")
 
-    link = Link(await connect(place), ANSWER)
+    link = FrameConnection(await connect(place), ANSWER_TIMEOUT)
     link.say(pack(asked))
-    with trio.move_on_after(ANSWER) as scope:
+    with trio.move_on_after(ANSWER_TIMEOUT) as scope:
         await link.run(take)
     if found and isinstance(found[0], kind):
         return found[0]
     raise ConnectionFailedError(
-        Ending.SILENT
+        Outcome.SILENT
         if scope.cancelled_caught
-        else Ending.MALFORMED
+        else Outcome.MALFORMED
         if found == [None]
-        else Ending.TURNED_AWAY
+        else Outcome.TURNED_AWAY
         if found
-        else Ending.ENDED
+        else Outcome.ENDED
     )
 
 
@@ -53,13 +53,13 @@
             try:
                 return await exchange(place, asked, kind)
             except ConnectionFailedError as end:
-                last = end.ending.name
+                last = end.outcome.name
             await trio.sleep(pause)
             pause = min(2 * pause, LONGEST_PAUSE)
     raise PublisherTimeoutError(f"{place}: {last}")
 
 
-async def publish(place: str, id: str, change: bytes, patience: float = PATIENCE) -> Verdict:
+async def publish(place: str, id: str, change: bytes, patience: float = DEFAULT_TIMEOUT) -> Verdict:
     """Submits a change set until there is a verdict on it; the same one has no second effect. Raises
     PublisherTimeoutError where there is none after `patience` seconds, ChangeError where it is too long."""
     return await _patiently(place, Submit(submitted_id(id, change), submitted(change)), Verdict, patience)
@@ -70,7 +70,7 @@
     return f"{id}#{blake2b(change, digest_size=8).hexdigest()}"
 
 
-async def status(place: str, patience: float = ANSWER) -> dict[str, Any]:
+async def status(place: str, patience: float = ANSWER_TIMEOUT) -> dict[str, Any]:
     """The publisher's status, as docs/control.md has it. Raises PublisherTimeoutError."""
     told = await _patiently(place, Ask(), Status, patience)
     try:
--- a/oakfork/control/config.py
+++ b/oakfork/control/config.py
@@ -10,7 +10,7 @@
 from oakfork.control.database import MOST_IDS, MOST_LOG
 from oakfork.control.follower_server import EGRESS, LINKS
 from oakfork.errors import ControlConfigError
-from oakfork.sockets.configuration import Address, address
+from oakfork.sockets.configuration import Address, parse_address
 
 LARGEST_FILE = 64 * 1024
 NAME = {"type": "string", "pattern": "^[a-z0-9][a-z0-9-]{0,47}(?!\n)$"}
@@ -133,7 +133,7 @@
     return PublisherFile(
         told["name"],
         told["region"],
-        address(told["listen"]),
+        parse_address(told["listen"]),
         told["database"],
         bounds.get("egress_bytes_per_s", EGRESS),
         bounds.get("connections", LINKS),
@@ -151,7 +151,7 @@
     return RelayFile(
         told["name"],
         told["region"],
-        address(told["listen"]),
+        parse_address(told["listen"]),
         tuple(told["upstreams"]),
         bounds.get("egress_bytes_per_s", EGRESS),
         bounds.get("connections", LINKS),
--- a/oakfork/control/connections.py
+++ b/oakfork/control/connections.py
@@ -13,9 +13,9 @@
 from oakfork.control.framing import HEAD, ZIPPED, framed, unzipped
 from oakfork.control.messages import LARGEST_FRAME
 from oakfork.errors import AddressInUseError, ConnectionFailedError
-from oakfork.sockets.configuration import Address, address
-from oakfork.sockets.http_connection import bound
-from oakfork.sockets.outcomes import Ending
+from oakfork.sockets.configuration import Address, parse_address
+from oakfork.sockets.http_connection import bind_socket
+from oakfork.sockets.outcomes import Outcome
 
 AT_ONCE = 65_536  # bytes read at once
 OUTBOX = 8 * 1024 * 1024  # bytes that wait to go
@@ -38,7 +38,7 @@
 Taker = Callable[[bytes], Awaitable[None]]
 
 
-class Link:
+class FrameConnection:
     """One connection. `ending` says why it is over."""
 
     def __init__(self, stream: trio.SocketStream, first: float = FIRST) -> None:
@@ -153,19 +153,19 @@
 
 async def connect(place: str) -> trio.SocketStream:
     """A connection to HOST:PORT; raises Break."""
-    host, port = address(place)
+    host, port = parse_address(place)
     try:
         with trio.fail_after(PATIENCE):
             return await trio.open_tcp_stream(host, port)
     except trio.TooSlowError:
-        raise ConnectionFailedError(Ending.NEVER_UP) from None
+        raise ConnectionFailedError(Outcome.NEVER_UP) from None
     except OSError:
-        raise ConnectionFailedError(Ending.REFUSED) from None
+        raise ConnectionFailedError(Outcome.REFUSED) from None
 
 
 def listen(place: Address) -> trio.SocketListener:
     """Raises AddressInUseError."""
-    sock = bound(socket.SOCK_STREAM, place)
+    sock = bind_socket(socket.SOCK_STREAM, place)
     try:
         sock.listen(512)
     except OSError as error:
--- a/oakfork/control/database.py
+++ b/oakfork/control/database.py
@@ -15,7 +15,7 @@
 import msgspec
 
 from oakfork.control.messages import Kind, Position, Row
-from oakfork.control.state import Records, as_changes, summed, whole
+from oakfork.control.state import Records, as_changes, total_digest, updated_sums
 from oakfork.errors import DatabaseError
 
 MARK = 0x6F616B66  # application_id: "oakf"
@@ -126,25 +126,25 @@
         position = Position(self._kept("snapshot_term"), self._kept("snapshot_number"))
         store, entries = Records(), []
         changes = {(Kind(kind), name): value for kind, name, value in self.link.execute("SELECT * FROM snapshot")}
-        store.commit(changes, summed(store, changes))
+        store.commit(changes, updated_sums(store, changes))
         self._agrees(store, self._kept("snapshot_digest"), position)
         for term, number, id, digest, rows in self.link.execute(
             "SELECT term, number, id, digest, rows FROM log ORDER BY term, number"
         ):
             entry = Entry(position, Position(term, number), id, digest % (2 * SIGN), _rows.decode(rows))
             changes = as_changes(entry.rows)
-            store.commit(changes, summed(store, changes))
+            store.commit(changes, updated_sums(store, changes))
             position = entry.position
             entries.append(entry)
             self._agrees(store, digest, position)
-        store.fold()
+        store.compact()
         if position != (self._kept("last_term"), self._kept("last_number")) or position.term > self.term:
             raise DatabaseError(f"{self.path}: damaged: its log does not end where it ended")
         ids = self.link.execute("SELECT id, term, number FROM ids ORDER BY term, number")
         return Loaded(position, store, entries, {id: Position(term, number) for id, term, number in ids})
 
     def _agrees(self, store: Records, digest: int, position: Position) -> None:
-        if _signed(whole(store.sums)) != digest:
+        if _signed(total_digest(store.sums)) != digest:
             raise DatabaseError(
                 f"{self.path}: damaged: the records at {position.term}.{position.number} are not "
                 "those that were stored"
@@ -198,7 +198,7 @@
             self.link.executemany("UPDATE kept SET value = ? WHERE key = ?", zip(before, KEPT[4:], strict=True))
         self.position = Position(*before)
 
-    def fold(self) -> bool:
+    def compact(self) -> bool:
         """Brings some of the oldest change sets of a log that is too long into the snapshot; whether it still is."""
         with self._transaction():
             if not (most := self._too_many()):
--- a/oakfork/control/encoded_frames.py
+++ b/oakfork/control/encoded_frames.py
@@ -25,7 +25,7 @@
     return min(start + FRAME_ROWS, len(rows))
 
 
-class Changed:
+class EncodedChange:
     """A Delta, its frames encoded as they are asked for."""
 
     def __init__(self, after: Position, position: Position, digest: int, changes: Changes) -> None:
@@ -54,7 +54,7 @@
         return self.start == len(self.rows) and number == len(self.frames) - 1
 
 
-class Ranges:
+class EncodedRanges:
     """The ranges of a store, each encoded once until something in it changes. The keys of each range are kept: built
     in the beginning, in one go, since no one is served yet; then brought up to date with each change set, in slices.
     The encoded frames take as much as the state at most, and go with the changes."""
--- a/oakfork/control/engine.py
+++ b/oakfork/control/engine.py
@@ -13,7 +13,7 @@
 from structlog.stdlib import BoundLogger
 
 from oakfork.control import events
-from oakfork.control.connections import Link, connect
+from oakfork.control.connections import FrameConnection, connect
 from oakfork.control.database import Database
 from oakfork.control.messages import Position, unpack_down, unpack_up
 from oakfork.errors import ConnectionFailedError, DatabaseError, log_fields
@@ -48,7 +48,7 @@
     ) -> None:
         self.machine, self.log, self.connections = machine, log, connections
         self.in_force, self.database = in_force, database
-        self.links: dict[int, Link | None] = {}  # None: not up yet; emptied when a link ends
+        self.links: dict[int, FrameConnection | None] = {}  # None: not up yet; emptied when a link ends
         self.scopes: dict[int, trio.CancelScope] = {}  # of links that are being made
         self.last = 0  # link that came in
         self.coming = 0  # links that came in and have not ended
@@ -57,7 +57,7 @@
         self.more = False
         self.sender, self.receiver = trio.open_memory_channel[events.Event](QUEUE)
         self.nursery: trio.Nursery | None = None
-        self.open: set[Link] = set()  # those that are up, or closed and not yet over
+        self.open: set[FrameConnection] = set()  # those that are up, or closed and not yet over
         self.stored = trio.Event()  # there may be change sets to fold
         self.disk = trio.Lock()  # the database takes one call at a time
 
@@ -154,7 +154,7 @@
             try:
                 stream = await connect(place)
             except ConnectionFailedError as end:
-                self.note(f"not connected: {end.ending.name}", place)
+                self.note(f"not connected: {end.outcome.name}", place)
         self.scopes.pop(number, None)
         if number not in self.links:  # closed meanwhile
             if stream is not None:
@@ -163,7 +163,7 @@
             del self.links[number]
             await self.sender.send(events.Lost(number))
         else:
-            await self._serve(Link(stream, NEVER), number, unpack_down)
+            await self._serve(FrameConnection(stream, NEVER), number, unpack_down)
 
     async def _accept(self, listener: trio.SocketListener) -> None:
         async with listener:
@@ -184,11 +184,11 @@
 
     async def _came(self, stream: trio.SocketStream, number: int) -> None:
         try:
-            await self._serve(Link(stream), number, unpack_up)
+            await self._serve(FrameConnection(stream), number, unpack_up)
         finally:
             self.coming -= 1
 
-    async def _serve(self, link: Link, number: int, unpack: Callable[[bytes], Any]) -> None:
+    async def _serve(self, link: FrameConnection, number: int, unpack: Callable[[bytes], Any]) -> None:
         async def take(body: bytes) -> None:
             message = unpack(body)
             if number in self.links:
@@ -237,7 +237,7 @@
             try:
                 while more:
                     async with self.disk:
-                        more = await trio.to_thread.run_sync(self.database.fold)
+                        more = await trio.to_thread.run_sync(self.database.compact)
             except DatabaseError as error:
                 self.log.error("the log could not be folded", **log_fields(error))
 
--- a/oakfork/control/follower.py
+++ b/oakfork/control/follower.py
@@ -47,7 +47,7 @@
     pack,
 )
 from oakfork.control.staging import SLICE, Staged
-from oakfork.control.state import Store, whole
+from oakfork.control.state import Store, total_digest
 
 # Milliseconds
 CONNECTING = 5_000  # for a connection to come about; two lost packets of its opening
@@ -112,7 +112,7 @@
 
     @property
     def digest(self) -> int:
-        return whole(self.store.sums)
+        return total_digest(self.store.sums)
 
     @property
     def following(self) -> bool:
@@ -314,7 +314,7 @@
         self._commit(told.position, changes, staged)
 
     def _agrees(self, staged: Staged, digest: int) -> bool:
-        return whole(staged.sums) == digest
+        return total_digest(staged.sums) == digest
 
     def _failed(self) -> None:
         """What was told doesn't lead to where it says: it, or what is in force here, is damaged."""
@@ -367,7 +367,7 @@
     def _work(self) -> None:
         """One slice: of what was committed last, before all else; or of the frame in hand."""
         if self.folding:
-            self.folding = self.store.fold(SLICE)
+            self.folding = self.store.compact(SLICE)
         elif (job := self.job) is not None:
             for _ in job:
                 return
--- a/oakfork/control/follower_registry.py
+++ b/oakfork/control/follower_registry.py
@@ -30,7 +30,7 @@
     told_at: int = 0
 
 
-class Roster:
+class FollowerRegistry:
     def __init__(self) -> None:
         self.links: dict[int, _Below] = {}  # emptied by `lost`
         self.names: dict[str, list[int]] = {}  # connected -> over which links; the latest last
--- a/oakfork/control/follower_server.py
+++ b/oakfork/control/follower_server.py
@@ -9,7 +9,7 @@
 from collections import deque
 from typing import Callable
 
-from oakfork.control.encoded_frames import Changed, Ranges
+from oakfork.control.encoded_frames import EncodedChange, EncodedRanges
 from oakfork.control.events import (
     UNKNOWN,
     Close,
@@ -27,8 +27,8 @@
     TimeCame,
     Wake,
 )
-from oakfork.control.follower_registry import Roster
-from oakfork.control.follower_session import Below, Turn
+from oakfork.control.follower_registry import FollowerRegistry
+from oakfork.control.follower_session import FollowerSession, SessionState
 from oakfork.control.framing import framed
 from oakfork.control.history import History
 from oakfork.control.messages import (
@@ -50,8 +50,8 @@
     Welcome,
     pack,
 )
-from oakfork.control.pacing import Pace
-from oakfork.control.state import Store, whole
+from oakfork.control.pacing import RangePacer
+from oakfork.control.state import Store, total_digest
 
 LINKS = 4_096  # at once: all 2,700 gateways at one relay, and as many again that aren't noticed to be gone
 NAMELESS = 10_000  # milliseconds for a Hello
@@ -62,7 +62,7 @@
 DELTAS = 16  # of several frames each, half sent; and encoded ones for the position in force
 
 
-class Feeder:
+class FollowerServer:
     """`store` holds the state of `position`, and is told of here by `in_force` when it goes on. `age`: how long the
     publisher hasn't been heard of, None: never. `way`: whom this one follows, and so on. Who drives it tells only of
     links that come in."""
@@ -80,11 +80,11 @@
         way: Callable[[], tuple[str, ...]] = tuple,
     ) -> None:
         self.who, self.store, self.position, self.age, self.way = who, store, position, age, way
-        self.history = history or History(position, whole(store.sums))
-        self.most, self.pace = most, Pace(egress, mends)
-        self.roster, self.ranges = Roster(), Ranges(store)
-        self.links: dict[int, Below] = {}
-        self.deltas: dict[Position, Changed] = {}  # by `after`; emptied with each position
+        self.history = history or History(position, total_digest(store.sums))
+        self.most, self.pace = most, RangePacer(egress, mends)
+        self.registry, self.ranges = FollowerRegistry(), EncodedRanges(store)
+        self.links: dict[int, FollowerSession] = {}
+        self.deltas: dict[Position, EncodedChange] = {}  # by `after`; emptied with each position
         self.held: set[int] = set()  # ids of those that are half sent somewhere, DELTAS at most
         self.blocked: deque[int] = deque()  # links that wait for one of them to be sent
         self.digests: bytes | None = None  # encoded, of the position
@@ -122,9 +122,9 @@
         """The state has gone on (the store has it already)."""
         self.now, self.commands = now, []
         self.position = told.position
-        self.history.add(told.before, told.position, told.changes, whole(self.store.sums))
+        self.history.add(told.before, told.position, told.changes, total_digest(self.store.sums))
         self.ranges.changed(told.changes)
-        self.roster.in_force(now, told.position)
+        self.registry.in_force(now, told.position)
         self.digests = None
         self.deltas.clear()
         self._serve_waiting()
@@ -174,7 +174,7 @@
 
     def _serve_waiting(self) -> None:
         for number, link in list(self.links.items()):
-            if link.turn is Turn.OURS:
+            if link.turn is SessionState.OURS:
                 self._serve(number, link)
 
     def _finished(self) -> list[Command]:
@@ -198,7 +198,7 @@
             self._say(number, Goodbye(reason, self.position))
             self.commands += [Close(number, reason), Note(reason, str(number))]
             return
-        self.links[number] = Below(self.now)
+        self.links[number] = FollowerSession(self.now)
         if self.beat_at is None:
             self.beat_at = self.now + BEAT
 
@@ -209,7 +209,7 @@
         self.pace.drop(number)
         if number in self.blocked:
             self.blocked.remove(number)
-        self.roster.lost(self.now, number)
+        self.registry.lost(self.now, number)
         if not self.links:
             self.beat_at = None
 
@@ -223,7 +223,7 @@
     def _say(self, number: int, message: Message) -> None:
         self.commands.append(Say(number, pack(message)))
 
-    def _turn(self, link: Below, turn: Turn) -> None:
+    def _turn(self, link: FollowerSession, turn: SessionState) -> None:
         link.turn, link.since = turn, self.now
 
     def _beat(self) -> None:
@@ -236,14 +236,14 @@
         frames, self.beaten_at, self.told_way = [*map(pack, map(self._told_beat, (False, True)))], self.now, self._way()
         for number, link in list(self.links.items()):
             lasted = self.now - link.since
-            if link.turn is Turn.NAMELESS:
+            if link.turn is SessionState.NAMELESS:
                 if lasted >= NAMELESS:
                     self._end(number, "no hello")
                 continue
-            if link.turn in (Turn.THEIRS, Turn.WANTS) and lasted >= SLOW:
+            if link.turn in (SessionState.THEIRS, SessionState.WANTS) and lasted >= SLOW:
                 self._end(number, "slow")
                 continue
-            if link.turn is Turn.THEIRS and lasted >= BEAT:
+            if link.turn is SessionState.THEIRS and lasted >= BEAT:
                 self.pace.drop(number)  # so that it holds nobody back; it gets in line again by its Ack
             self.commands.append(Say(number, frames[link.relay]))
         if self.links:
@@ -259,36 +259,36 @@
 
     # What is heard
 
-    def _heard(self, number: int, link: Below, message: Message | None) -> None:
+    def _heard(self, number: int, link: FollowerSession, message: Message | None) -> None:
         match message:
             case None:
                 self._end(number, "malformed", "malformed")
-            case Hello() if link.turn is Turn.NAMELESS:
+            case Hello() if link.turn is SessionState.NAMELESS:
                 self._hello(number, link, message)
-            case Ack(position, digest) if link.turn in (Turn.OURS, Turn.THEIRS):
+            case Ack(position, digest) if link.turn in (SessionState.OURS, SessionState.THEIRS):
                 self._acked(number, link, position, digest)
-            case Want(ranges) if link.turn is Turn.WANTS:
+            case Want(ranges) if link.turn is SessionState.WANTS:
                 link.ranges = sorted(set(ranges), reverse=True)
                 self._queue(number, link)
             case Recall(before) if link.relay:
                 self._say(number, Past(before, self.history.past(before)))
             case Report() if link.relay:
-                self.roster.reported(self.now, number, message)
+                self.registry.reported(self.now, number, message)
             case _:
                 self._end(number, "out of turn", "malformed")
 
-    def _hello(self, number: int, link: Below, told: Hello) -> None:
+    def _hello(self, number: int, link: FollowerSession, told: Hello) -> None:
         if told.version != VERSION:
             return self._end(number, "version", "version")
         link.who, link.relay, link.position, link.digest = told.who, told.relay, told.position, told.digest
         if self._outdated(number, link):
             return
-        self.roster.came(self.now, number, told.who, told.relay, told.position)
+        self.registry.came(self.now, number, told.who, told.relay, told.position)
         self._say(number, Welcome(VERSION, self.who, self.position))
         self._say(number, self._told_beat(told.relay))
         self._serve(number, link)
 
-    def _outdated(self, number: int, link: Below) -> bool:
+    def _outdated(self, number: int, link: FollowerSession) -> bool:
         """Whether it has what a later publisher said. (One that has nothing itself yet can't judge.)"""
         if not self.outdated and not 0 < self.position.term < link.position.term:
             return False
@@ -297,12 +297,12 @@
         self._end(number, "older term", "older term")
         return True
 
-    def _acked(self, number: int, link: Below, position: Position, digest: int) -> None:
-        going_on = link.turn is Turn.THEIRS and position == link.position
+    def _acked(self, number: int, link: FollowerSession, position: Position, digest: int) -> None:
+        going_on = link.turn is SessionState.THEIRS and position == link.position
         link.position, link.digest = position, digest
         if self._outdated(number, link):
             return
-        self.roster.acked(number, position)
+        self.registry.acked(number, position)
         if going_on and link.delta is not None:
             self._next(number, link)
         elif going_on and link.base is not None:
@@ -315,38 +315,38 @@
 
     # What is sent
 
-    def _serve(self, number: int, link: Below) -> None:
+    def _serve(self, number: int, link: FollowerSession) -> None:
         """By what it said last."""
         history, at = self.history, link.position
         if at > self.position or at == self.position and link.digest == history.digest(at):
-            self._turn(link, Turn.OURS)  # or it is ahead: in time it turns to another
+            self._turn(link, SessionState.OURS)  # or it is ahead: in time it turns to another
         elif history.knows(at) and history.digest(at) in (None, link.digest):
             self._begin(number, link, at)
         elif history.passed(at) and link.passed_over != at:
             link.passed_over = at  # again there: it failed. Guards against ranges for all who move in a burst
             self._begin(number, link, at)
         elif self.now < self.recalled_by and at > EMPTY and not history.knows(at):
-            self._turn(link, Turn.OURS)  # until that has come, or the time is over
+            self._turn(link, SessionState.OURS)  # until that has come, or the time is over
         else:
             self._tell_digests(number, link)
 
-    def _tell_digests(self, number: int, link: Below) -> None:
+    def _tell_digests(self, number: int, link: FollowerSession) -> None:
         if self.digests is None:
             self.digests = pack(Digests(self.position, tuple(self.store.sums)))
         link.base = self.position
         self.commands.append(Say(number, self.digests))
-        self._turn(link, Turn.WANTS)
+        self._turn(link, SessionState.WANTS)
 
-    def _begin(self, number: int, link: Below, after: Position) -> None:
+    def _begin(self, number: int, link: FollowerSession, after: Position) -> None:
         """A Delta from there on; to be told from the history. It waits where too many are half sent."""
         delta = self.deltas.get(after)
         if delta is None:
             changes = self.history.merged(after)
-            delta = Changed(after, self.position, self.history.digest(self.position), changes)
+            delta = EncodedChange(after, self.position, self.history.digest(self.position), changes)
             if len(self.deltas) < DELTAS:
                 self.deltas[after] = delta
         if delta.long and id(delta) not in self.held and len(self.held) >= DELTAS:
-            self._turn(link, Turn.QUEUED)
+            self._turn(link, SessionState.QUEUED)
             self.blocked.append(number)
             return
         link.base = None
@@ -357,18 +357,18 @@
             self._next(number, link)
         else:
             self.commands.append(Say(number, delta.frame(0)))
-            self._turn(link, Turn.THEIRS)
+            self._turn(link, SessionState.THEIRS)
 
-    def _next(self, number: int, link: Below) -> None:
+    def _next(self, number: int, link: FollowerSession) -> None:
         """Frame of a Delta."""
         delta = link.delta
         self.commands.append(Say(number, delta.frame(link.sent)))
-        self._turn(link, Turn.THEIRS)
+        self._turn(link, SessionState.THEIRS)
         if delta.last(link.sent):
             self._release(link)
         link.sent += 1
 
-    def _release(self, link: Below) -> None:
+    def _release(self, link: FollowerSession) -> None:
         """The Delta that it was sent is sent, or given up; who waited for that goes on."""
         delta, link.delta = link.delta, None
         if delta is None:
@@ -383,16 +383,16 @@
 
     # Ranges
 
-    def _queue(self, number: int, link: Below) -> None:
+    def _queue(self, number: int, link: FollowerSession) -> None:
         """It wants ranges, and gets them when its turn comes; after the last one, what changed since."""
         if link.ranges or link.frames:
-            self._turn(link, Turn.QUEUED)
+            self._turn(link, SessionState.QUEUED)
             self.pace.ask(number)
         else:
             self.pace.drop(number)
             self._after_ranges(number, link)
 
-    def _after_ranges(self, number: int, link: Below) -> None:
+    def _after_ranges(self, number: int, link: FollowerSession) -> None:
         if self.history.knows(link.base):
             self._begin(number, link, link.base)
         else:  # too much changed meanwhile: what differs now
@@ -406,5 +406,5 @@
                 link.frames = self.ranges.frames(link.ranges.pop())[::-1]
             frame = link.frames.pop()
             self.commands.append(Say(number, frame))
-            self._turn(link, Turn.THEIRS)
+            self._turn(link, SessionState.THEIRS)
             self.pace.sent(self.now, len(framed(frame)))
--- a/oakfork/control/follower_session.py
+++ b/oakfork/control/follower_session.py
@@ -3,11 +3,11 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from oakfork.control.encoded_frames import Changed
+from oakfork.control.encoded_frames import EncodedChange
 from oakfork.control.messages import EMPTY, Position
 
 
-class Turn(Enum):
+class SessionState(Enum):
     NAMELESS = "Hello awaited"
     OURS = "it has what there is"
     THEIRS = "a frame was sent, Ack awaited"
@@ -16,14 +16,14 @@
 
 
 @dataclass(slots=True)
-class Below:
+class FollowerSession:
     since: int  # in its turn
-    turn: Turn = Turn.NAMELESS
+    turn: SessionState = SessionState.NAMELESS
     who: str = ""
     relay: bool = False
     position: Position = EMPTY
     digest: int = 0
-    delta: Changed | None = None  # half sent
+    delta: EncodedChange | None = None  # half sent
     sent: int = 0  # of its frames
     passed_over: Position | None = None  # it stood there, and got what changed since the one before
     base: Position | None = None  # while it mends: of the Digests that it got
--- a/oakfork/control/other_publishers.py
+++ b/oakfork/control/other_publishers.py
@@ -11,7 +11,7 @@
 ASK = 10_000  # milliseconds from one time to the next; one that hasn't answered by then is asked anew
 
 
-class Others:
+class OtherPublishers:
     """`places`: of all other publishers that may be there. `highest`: the highest term that one told, 0: none."""
 
     def __init__(self, places: Sequence[str]) -> None:
--- a/oakfork/control/pacing.py
+++ b/oakfork/control/pacing.py
@@ -3,7 +3,7 @@
 from collections import deque
 
 
-class Pace:
+class RangePacer:
     """`egress` in bytes a second, what isn't used is lost; `most` links by turns, the others wait, so that those who
     began also end. Each link is in one of the three tables at most, and `drop` takes it out of any."""
 
--- a/oakfork/control/processes.py
+++ b/oakfork/control/processes.py
@@ -14,7 +14,7 @@
 from oakfork.control.engine import Engine, serve
 from oakfork.control.events import InForce
 from oakfork.control.follower import Follower
-from oakfork.control.follower_server import Feeder
+from oakfork.control.follower_server import FollowerServer
 from oakfork.control.publisher import Publisher
 from oakfork.control.relay import Relay
 from oakfork.control.state import Records
@@ -22,9 +22,9 @@
 MOST_RELAYS = 64  # named in a status
 
 
-def with_more(told: bytes, feeder: Feeder, engine: Engine) -> bytes:
+def with_more(told: bytes, follower_server: FollowerServer, engine: Engine) -> bytes:
     """A status, and what only who drives the machine knows."""
-    relays = [below for below in feeder.roster.links.values() if below.relay]
+    relays = [below for below in follower_server.registry.links.values() if below.relay]
     return json.dumps(
         json.loads(told)
         | {
@@ -43,21 +43,21 @@
     engine: Engine
 
     def status(self, now: int) -> bytes:
-        return with_more(super().status(now), self.feeder, self.engine)
+        return with_more(super().status(now), self.follower_server, self.engine)
 
 
 class _Relay(Relay):
     engine: Engine
 
     def status(self, now: int) -> bytes:
-        return with_more(super().status(now), self.feeder, self.engine)
+        return with_more(super().status(now), self.follower_server, self.engine)
 
 
 def publisher_engine(file: PublisherFile, database: Database, log: BoundLogger) -> Engine:
     """A publisher of a new term, upon what its database holds; the term is durable when this returns. Waits for the
     disk: call it in a thread."""
     loaded, database.loaded = database.loaded, None
-    index = change_schema.Index(loaded.records)
+    index = change_schema.StateIndex(loaded.records)
     machine = _Publisher(
         file.who,
         database.begin_term(file.above_term),
--- a/oakfork/control/publisher.py
+++ b/oakfork/control/publisher.py
@@ -32,11 +32,11 @@
     Unkept,
     Wake,
 )
-from oakfork.control.follower_server import EGRESS, LINKS, Feeder
+from oakfork.control.follower_server import EGRESS, LINKS, FollowerServer
 from oakfork.control.history import History
 from oakfork.control.messages import Ask, Message, Position, Row, Status, Submit, Verdict, pack
-from oakfork.control.other_publishers import Others
-from oakfork.control.state import Store, as_changes, summed, whole
+from oakfork.control.other_publishers import OtherPublishers
+from oakfork.control.state import Store, as_changes, total_digest, updated_sums
 from oakfork.control.status import status
 from oakfork.errors import DatabaseError
 
@@ -95,7 +95,7 @@
         if term <= stored.term:
             raise DatabaseError(f"term {term} is not above {stored.term}, which is stored")
         self.store, self.parse, self.contradictions, self.told = store, parse, contradictions, told
-        position, digest = Position(term, stored.number), whole(store.sums)
+        position, digest = Position(term, stored.number), total_digest(store.sums)
         history = None
         for entry in entries:
             history = history or History(entry.before, None)
@@ -105,18 +105,18 @@
         if history is None or history.newest != stored:
             history = History(stored, digest)
         history.add(stored, position, {}, digest)  # nothing has changed but the term
-        self.feeder = Feeder(who, store, position, lambda now: 0, history, egress, most=most)
+        self.follower_server = FollowerServer(who, store, position, lambda now: 0, history, egress, most=most)
         self.answered: dict[str, Position] = dict(ids or {})
         self.queue: deque[_Submitted] = deque()  # the first one is worked on; emptied by verdicts
         self.kept: _Kept | None = None
         self.unsettled: str | None = None  # the id of one that was stored and could not be taken back: never answered
-        self.others = Others(others)
+        self.others = OtherPublishers(others)
         self.wake: int | None = None
         self.asked = False
 
     @property
     def position(self) -> Position:
-        return self.feeder.position
+        return self.follower_server.position
 
     @property
     def term(self) -> int:
@@ -133,8 +133,8 @@
             self.wake = None  # it is told anew, should this have come too early
         match event:
             case Heard(link, Submit() | Ask() as message):
-                if link in self.feeder.links:
-                    self.feeder.awaited(now, link)
+                if link in self.follower_server.links:
+                    self.follower_server.awaited(now, link)
                     self._asked(now, link, message, commands)
             case Stored(number):
                 self._stored(now, number, commands)
@@ -148,7 +148,7 @@
             case Connected(link) | Lost(link) | Heard(link) if link < 0:
                 self._take(self.others.handle(now, event), commands)
             case _:
-                self._take(self.feeder.handle(now, event), commands)
+                self._take(self.follower_server.handle(now, event), commands)
                 self._take(self.others.handle(now, event) if isinstance(event, TimeCame) else [], commands)
                 if isinstance(event, Lost):
                     for one in self.queue:
@@ -158,27 +158,27 @@
             self._judge(commands)
         if self.queue and self.kept is None:
             self._more(commands)
-        wake = min((at for at in (self.feeder.wake, self.others.wake) if at is not None), default=None)
+        wake = min((at for at in (self.follower_server.wake, self.others.wake) if at is not None), default=None)
         if wake is not None and wake != self.wake:
             commands.append(Wake(wake))
         self.wake = wake
         return commands
 
     def status(self, now: int) -> bytes:
-        return status(now, self.feeder, queued=len(self.queue))
+        return status(now, self.follower_server, queued=len(self.queue))
 
     def _older_term(self, now: int, commands: list[Command]) -> None:
         """Once a higher term is heard of, from below or from another publisher: nothing is taken any more."""
-        higher = max(self.feeder.higher, self.others.highest)
-        if higher > self.term and not self.feeder.outdated:
-            self.feeder.higher = higher
+        higher = max(self.follower_server.higher, self.others.highest)
+        if higher > self.term and not self.follower_server.outdated:
+            self.follower_server.higher = higher
             commands.append(Note("older term", f"{self.term}: there is {higher}"))
-            self._take(self.feeder.outdate(now), commands)
-        while self.feeder.outdated and self.queue and self.kept is None:
+            self._take(self.follower_server.outdate(now), commands)
+        while self.follower_server.outdated and self.queue and self.kept is None:
             self._verdict(None, self._older(), commands)
 
     def _older(self) -> tuple[str, ...]:
-        return (f"older term: this publisher has term {self.term}, there is one of term {self.feeder.higher}",)
+        return (f"older term: this publisher has term {self.term}, there is one of term {self.follower_server.higher}",)
 
     def _take(self, told: list[Command], commands: list[Command]) -> None:
         """The commands of a part, with one `More` for all; its time is asked for when all is done."""
@@ -201,11 +201,11 @@
             commands.append(Say(link, pack(Status(self.status(now)))))
             return
         if message.id == self.unsettled:
-            return self._take(self.feeder.dismiss(now, link, "not taken back"), commands)
+            return self._take(self.follower_server.dismiss(now, link, "not taken back"), commands)
         waiting = next((one for one in self.queue if one.id == message.id), None)
         if (position := self.answered.get(message.id)) is not None:
             verdict = Verdict(message.id, position, ())
-        elif self.feeder.outdated:
+        elif self.follower_server.outdated:
             verdict = Verdict(message.id, None, self._older())
         elif len(self.queue if waiting is None else waiting.links) >= (QUEUED if waiting is None else ASKERS):
             verdict = Verdict(message.id, None, ("too many change sets wait: send it again later",))
@@ -226,23 +226,23 @@
             commands.append(Note("refused", self.queue[0].id))
             return self._verdict(None, tuple(faults[:64]), commands)
         changes = {key: value for key, value in as_changes(rows).items() if self.store.value(*key) != value}
-        sums = summed(self.store, changes)
+        sums = updated_sums(self.store, changes)
         position = Position(self.term, self.position.number + 1)
         self.kept = _Kept(position, changes, sums)
-        commands.append(Keep(position, self.queue[0].id, tuple(rows), whole(sums)))
+        commands.append(Keep(position, self.queue[0].id, tuple(rows), total_digest(sums)))
 
     def _stored(self, now: int, number: int, commands: list[Command]) -> None:
         """It is durable, so it is in force, then acknowledged and fed."""
         if self.kept is None or self.kept.position.number != number:
             return
-        if self.feeder.outdated:
+        if self.follower_server.outdated:
             # Meanwhile a later publisher was heard of. What is said to be refused must not be in force after a restart,
             # so it is taken back before the verdict.
             return commands.append(Unkeep(self.kept.position))
         (position, changes, sums), self.kept = self.kept, None
         before = self.position
         self.store.commit(changes, sums)
-        self.store.fold()
+        self.store.compact()
         if self.told is not None:
             self.told(changes)
         self.answered[self.queue[0].id] = position
@@ -250,7 +250,7 @@
             del self.answered[next(iter(self.answered))]
         in_force = InForce(before, position, changes)
         commands.append(in_force)
-        self._take(self.feeder.in_force(now, in_force), commands)
+        self._take(self.follower_server.in_force(now, in_force), commands)
         self._verdict(position, (), commands)
 
     def _unkept(self, now: int, number: int, event: Unkept | NotUnkept, commands: list[Command]) -> None:
@@ -263,11 +263,11 @@
             one = self.queue.popleft()
             self.unsettled = one.id
             for link in one.links:
-                self._take(self.feeder.dismiss(now, link, "not taken back"), commands)
+                self._take(self.follower_server.dismiss(now, link, "not taken back"), commands)
         else:
             self._verdict(None, self._older(), commands)
 
     def _verdict(self, position: Position | None, faults: tuple[str, ...], commands: list[Command]) -> None:
         one = self.queue.popleft()
         frame = pack(Verdict(one.id, position, faults))
-        commands += [Say(link, frame) for link in one.links if link in self.feeder.links]
+        commands += [Say(link, frame) for link in one.links if link in self.follower_server.links]
--- a/oakfork/control/records.py
+++ b/oakfork/control/records.py
@@ -96,22 +96,22 @@
         return None
 
 
-def amount(told: float) -> int | float:
+def parse_amount(told: float) -> int | float:
     """Whole numbers pack into fewer bytes."""
     return int(told) if told == int(told) else told
 
 
-def packed_address(text: str) -> int | str:
+def pack_address(text: str) -> int | str:
     """The address's four bytes and the port's two as one number, where that says the same; the text otherwise."""
     host, _, port = text.rpartition(":")
     try:
         number = int.from_bytes(socket.inet_pton(socket.AF_INET, host), "big") << 16 | int(port)
     except (OSError, ValueError):
         return text
-    return number if told_address(number) == text else text
+    return number if unpack_address(number) == text else text
 
 
-def told_address(told: int | str) -> str:
+def unpack_address(told: int | str) -> str:
     """Of what `packed_address` made; empty for any other number."""
     if isinstance(told, str):
         return told
@@ -127,7 +127,7 @@
         return {"id": name, "state": "removed"}
     return {
         "id": name,
-        "addr": told_address(server.addr),
+        "addr": unpack_address(server.addr),
         "zone": server.zone,
         "kind": server.kind,
         "cell": server.cell,
--- a/oakfork/control/relay.py
+++ b/oakfork/control/relay.py
@@ -20,7 +20,7 @@
     Wake,
 )
 from oakfork.control.follower import Follower
-from oakfork.control.follower_server import EGRESS, LINKS, Feeder
+from oakfork.control.follower_server import EGRESS, LINKS, FollowerServer
 from oakfork.control.messages import EMPTY, Ask, Beat, Past, Position, Recall, Report, Status, pack
 from oakfork.control.state import Store
 from oakfork.control.status import status
@@ -29,14 +29,14 @@
 
 
 class Relay:
-    """As Follower; `egress` and `most` as Feeder. Its state is in memory alone: it begins with none."""
+    """As Follower; `egress` and `most` as FollowerServer. Its state is in memory alone: it begins with none."""
 
     def __init__(
         self, who: str, relays: Sequence[str], store: Store, seed: int = 1, egress: int = EGRESS, most: int = LINKS
     ) -> None:
         self.store = store
         self.follower = Follower(who, relays, store, seed=seed, relay=True)
-        self.feeder = Feeder(
+        self.follower_server = FollowerServer(
             who,
             store,
             self.follower.position,
@@ -69,23 +69,25 @@
         if isinstance(event, Step):
             self.asked = False
         if isinstance(event, Heard) and event.link > 0 and isinstance(event.message, Ask):
-            return [Say(event.link, pack(Status(self.status(now))))] if event.link in self.feeder.links else []
+            return [Say(event.link, pack(Status(self.status(now))))] if event.link in self.follower_server.links else []
         both = isinstance(event, TimeCame | Step | Left)
         if both or event.link > 0:
-            self._take(now, self.feeder.handle(now, event), commands)
+            self._take(now, self.follower_server.handle(now, event), commands)
         if isinstance(event, Heard) and event.link < 0 and isinstance(event.message, Past):
             self._past(now, event, commands)
         elif both or event.link < 0:
             self._take(now, self.follower.handle(now, event), commands)
         if isinstance(event, Heard) and event.link < 0 and isinstance(event.message, Beat):
-            self._take(now, self.feeder.pass_on(now), commands)
-        if self.feeder.higher > max(self.higher, self.position.term):
-            self.higher = self.feeder.higher  # whom it follows may be of the past: it looks elsewhere, once a term
+            self._take(now, self.follower_server.pass_on(now), commands)
+        if self.follower_server.higher > max(self.higher, self.position.term):
+            self.higher = (
+                self.follower_server.higher
+            )  # whom it follows may be of the past: it looks elsewhere, once a term
             self._take(now, self.follower.turn(now, "higher term below"), commands)
         if not isinstance(event, Left):
             self._recall(now, commands)
             self._report(now, commands)
-        due = (self.follower.wake, self.feeder.wake, self.report_due)
+        due = (self.follower.wake, self.follower_server.wake, self.report_due)
         wake = min((at for at in due if at is not None), default=None)
         if wake is not None and wake != self.wake:
             commands.append(Wake(wake))
@@ -94,7 +96,7 @@
 
     def status(self, now: int) -> bytes:
         follower = self.follower
-        return status(now, self.feeder, phase=follower.phase.value, follows=follower.relays[follower.place])
+        return status(now, self.follower_server, phase=follower.phase.value, follows=follower.relays[follower.place])
 
     def _take(self, now: int, told: list[Command], commands: list[Command]) -> None:
         """The commands of a part, with one `More` for both; what is in force goes on to those below. Their times are
@@ -109,10 +111,10 @@
                         commands.append(command)
                 case InForce(before, position, _):
                     commands.append(command)
-                    if before == EMPTY or self.feeder.history.breaks(before, position):
+                    if before == EMPTY or self.follower_server.history.breaks(before, position):
                         self.recalling, self.recalled_on = True, 0
-                        self.feeder.recalls(now)
-                    self._take(now, self.feeder.in_force(now, command), commands)
+                        self.follower_server.recalls(now)
+                    self._take(now, self.follower_server.in_force(now, command), commands)
                 case _:
                     commands.append(command)
 
@@ -121,32 +123,32 @@
         follower = self.follower
         if self.recalling and follower.following and follower.link != self.recalled_on:
             self.recalled_on = follower.link
-            self.feeder.recalls(now)
-            commands.append(follower.say(Recall(self.feeder.history.start)))
+            self.follower_server.recalls(now)
+            commands.append(follower.say(Recall(self.follower_server.history.start)))
 
     def _past(self, now: int, heard: Heard, commands: list[Command]) -> None:
-        told, history, follower = heard.message, self.feeder.history, self.follower
+        told, history, follower = heard.message, self.follower_server.history, self.follower
         if heard.link != follower.link or self.recalled_on != follower.link or not self.recalling:
             return commands.append(Note("stale", f"what led to {told.before}"))
         self.recalling = history.recall(told.before, told.steps, lambda key: self.store.value(*key))
         if self.recalling:
             commands.append(follower.say(Recall(history.start)))
-        self._take(now, self.feeder.recalled(now, self.recalling), commands)
+        self._take(now, self.follower_server.recalled(now, self.recalling), commands)
 
     def _report(self, now: int, commands: list[Command]) -> None:
-        roster, follower = self.feeder.roster, self.follower
+        registry, follower = self.follower_server.registry, self.follower
         self.report_due = None
         if not follower.following:
             return
         if self.reported_on != follower.link:
             self.reported_on, self.last, self.report_at = follower.link, None, now
-            roster.afresh()
-        if roster.changed and now >= self.report_at:
-            told = roster.report(now, self.position)
+            registry.afresh()
+        if registry.changed and now >= self.report_at:
+            told = registry.report(now, self.position)
             if (said := _gist(told)) != self.last or told.came or told.went:
                 self.last, self.report_at = said, now + REPORT
                 commands.append(follower.say(told))
-        if roster.changed:
+        if registry.changed:
             self.report_due = max(self.report_at, now + 1)
 
 
--- a/oakfork/control/state.py
+++ b/oakfork/control/state.py
@@ -47,18 +47,18 @@
         """In force from here on, all at once; `sums` are those afterwards."""
         ...
 
-    def fold(self, most: int | None = None) -> bool:
+    def compact(self, most: int | None = None) -> bool:
         """Brings so many records of the last commit (all, if none is said) where they belong; whether some are left.
         What is looked up is the same before and after."""
         ...
 
 
-def whole(sums: array) -> int:
+def total_digest(sums: array) -> int:
     """The digest of a state, from those of its ranges."""
     return sum(sums) & MASK
 
 
-def summed(store: Store, changes: Mapping[tuple[Kind, str], bytes | None]) -> array:
+def updated_sums(store: Store, changes: Mapping[tuple[Kind, str], bytes | None]) -> array:
     """The digests by range after some changes. Costs the changes, not the state."""
     sums = array("Q", store.sums)
     for (kind, name), value in changes.items():
@@ -104,11 +104,11 @@
                 yield name
 
     def commit(self, changes: Mapping[tuple[Kind, str], bytes | None], sums: array) -> None:
-        self.fold()  # what is left of the one before
+        self.compact()  # what is left of the one before
         self.overlay, self.sums = changes, sums
         self.folding = iter(changes.items())
 
-    def fold(self, most: int | None = None) -> bool:
+    def compact(self, most: int | None = None) -> bool:
         """Brings so many records of the overlay (all, if none is said) where they belong; whether some are left. They
         are looked up alike before, between and afterwards."""
         for (kind, name), value in self.folding:
--- a/oakfork/control/status.py
+++ b/oakfork/control/status.py
@@ -4,33 +4,33 @@
 
 import msgspec
 
-from oakfork.control.follower_server import Feeder
+from oakfork.control.follower_server import FollowerServer
 from oakfork.control.messages import Position
 
 NAMED = 256  # of those behind, and of those gone, the worst; a frame holds that with names of any allowed length
 
 
-def status(now: int, feeder: Feeder, **more: Any) -> bytes:
+def status(now: int, follower_server: FollowerServer, **more: Any) -> bytes:
     """`more`: what only the one has whose status it is. Times are milliseconds."""
-    roster, mine = feeder.roster, feeder.position
-    everywhere = roster.everywhere(mine)
-    behind, others = roster.behind(now, mine, NAMED)
-    gone = list(roster.gone.items())
+    registry, mine = follower_server.registry, follower_server.position
+    everywhere = registry.everywhere(mine)
+    behind, others = registry.behind(now, mine, NAMED)
+    gone = list(registry.gone.items())
     return msgspec.json.encode(
         {
-            "who": feeder.who,
+            "who": follower_server.who,
             "position": mine,
-            "age_ms": feeder.age(now),
+            "age_ms": follower_server.age(now),
             "everywhere": everywhere == mine,
             "everywhere_position": everywhere,
-            "connected": len(roster.names),
-            "links": len(feeder.links),
+            "connected": len(registry.names),
+            "links": len(follower_server.links),
             "behind": [{"who": one.who, "position": one.position, "for_ms": one.since} for one in behind],
             "others_behind": others,
             "gone": [{"who": who, "followed": followed, "for_ms": now - at} for who, (at, followed) in gone[:NAMED]],
             "others_gone": max(0, len(gone) - NAMED),
-            "left_out": roster.left_out,
-            "higher_term": feeder.higher or None,
+            "left_out": registry.left_out,
+            "higher_term": follower_server.higher or None,
             **more,
         }
     )
--- a/oakfork/control/status_text.py
+++ b/oakfork/control/status_text.py
@@ -16,7 +16,7 @@
     return f"{seconds:.1f} s"
 
 
-def whole(told: Mapping[str, Any], wanted: Sequence[int], followers: int) -> bool:
+def in_force_everywhere(told: Mapping[str, Any], wanted: Sequence[int], followers: int) -> bool:
     """Whether a position is in force at all of so many, and at the relays between."""
     return (
         told["connected"] >= followers + len(told["relays"])
--- a/oakfork/control/trial.py
+++ b/oakfork/control/trial.py
@@ -151,4 +151,8 @@
         if verdict.position is None:
             raise DrillProcessError("the example was refused: " + "; ".join(verdict.faults))
         say(f"published: position {verdict.position.term}.{verdict.position.number}")
-        say(status_text.text(everywhere(publisher, lambda told: status_text.whole(told, verdict.position, FOLLOWERS))))
+        say(
+            status_text.text(
+                everywhere(publisher, lambda told: status_text.in_force_everywhere(told, verdict.position, FOLLOWERS))
+            )
+        )
--- a/oakfork/errors.py
+++ b/oakfork/errors.py
@@ -119,13 +119,13 @@
 
 
 class ConnectionFailedError(OakforkError):
-    """A connection can't be used any more; `ending` says how it ended."""
+    """A connection can't be used any more; `outcome` says how it ended."""
 
     todo = "look at the party at the other end of that connection: the ending's name says what it did"
 
-    def __init__(self, ending: Any) -> None:
-        super().__init__(ending.name)
-        self.ending = ending
+    def __init__(self, outcome: Any) -> None:
+        super().__init__(outcome.name)
+        self.outcome = outcome
 
 
 def log_fields(error: OakforkError) -> dict[str, str]:
--- a/oakfork/fleet/codec.py
+++ b/oakfork/fleet/codec.py
@@ -8,14 +8,26 @@
 import msgspec
 
 from oakfork.contracts.messages import Borrow, Dealt, Demand, Lent
-from oakfork.fleet.config import Edition
-from oakfork.leases.messages import Act, Acted, Ask, Clock, Free, Grant, Hello, Number, Refusal, Release, Small
+from oakfork.fleet.config import FleetRevision
+from oakfork.leases.messages import (
+    ActReply,
+    ActRequest,
+    Ask,
+    ClockReply,
+    ClockRequest,
+    Grant,
+    Number,
+    Refusal,
+    Release,
+    Small,
+    VoteFreed,
+)
 
 LARGEST = 1200  # bytes of a frame: under what any path carries whole
 MOST = 32  # messages in one
 VERSION = 1
 
-Lease = Ask | Grant | Refusal | Release | Free | Hello | Clock | Act | Acted
+Lease = Ask | Grant | Refusal | Release | VoteFreed | ClockRequest | ClockReply | ActRequest | ActReply
 
 
 class Frame(msgspec.Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
@@ -27,14 +39,14 @@
     messages: list[Lease | Dealt | Demand | Borrow | Lent]
 
     @property
-    def edition(self) -> Edition:
-        return Edition(self.revision, self.digest, self.before)
+    def edition(self) -> FleetRevision:
+        return FleetRevision(self.revision, self.digest, self.before)
 
 
 _encoder, _decoder = msgspec.msgpack.Encoder(), msgspec.msgpack.Decoder(Frame)
 
 
-def pack(sender: int, edition: Edition, messages: Sequence[Any]) -> bytes:
+def pack(sender: int, edition: FleetRevision, messages: Sequence[Any]) -> bytes:
     return _encoder.encode(Frame(VERSION, sender, *edition, list(messages)))
 
 
--- a/oakfork/fleet/config.py
+++ b/oakfork/fleet/config.py
@@ -13,8 +13,8 @@
 
 from oakfork.configuration_schema import ADDRESS, against, read_toml
 from oakfork.errors import FleetError
-from oakfork.leases.durations import Lengths
-from oakfork.sockets.configuration import Address, address
+from oakfork.leases.durations import LeaseDurations
+from oakfork.sockets.configuration import Address, parse_address
 
 LARGEST_FILE = 256 * 1024
 MOST_GATEWAYS = 4096
@@ -127,14 +127,14 @@
 )
 
 
-class Edition(NamedTuple):
+class FleetRevision(NamedTuple):
     """What frames carry, so that a majority of one file is never mixed with one of another that it may miss."""
 
     revision: int
     digest: int
     before: int
 
-    def agrees(self, other: "Edition") -> bool:
+    def agrees(self, other: "FleetRevision") -> bool:
         """The same file, or one that says it comes right after the other."""
         if other.revision == self.revision:
             return other.digest == self.digest
@@ -144,26 +144,26 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Drill:
+class DrillConfig:
     target: Address
     every: float  # seconds
 
 
 @dataclass(frozen=True, slots=True)
-class Control:
+class ControlConfig:
     relays: tuple[str, ...]  # HOST:PORT
     service: str | None
 
 
 @dataclass(frozen=True, slots=True)
 class FleetFile:
-    edition: Edition
+    edition: FleetRevision
     addresses: tuple[Address, ...]
     listen: Address | None
     voters: tuple[int, ...]
-    lengths: Lengths
-    drill: Drill | None
-    control: Control | None
+    durations: LeaseDurations
+    drill: DrillConfig | None
+    control: ControlConfig | None
 
 
 def read(path: str | Path) -> FleetFile:
@@ -176,16 +176,16 @@
         raise FleetError(faults)
     leases, before = told["leases"], told["leases"].get("before")
     longest = max(leases["length_ms"], before["length_ms"] if before else 0)
-    lengths = Lengths(leases["length_ms"] * 10, leases["drift_permille"], leases["act_ms"] * 10, longest * 10)
+    durations = LeaseDurations(leases["length_ms"] * 10, leases["drift_permille"], leases["act_ms"] * 10, longest * 10)
     drill, control = told.get("drill"), told.get("control")
     return FleetFile(
-        Edition(told["revision"], int(digest(told), 16), int(before["edition"], 16) if before else 0),
-        tuple(address(text) for text in told["addresses"]),
-        address(told["listen"]) if "listen" in told else None,
+        FleetRevision(told["revision"], int(digest(told), 16), int(before["edition"], 16) if before else 0),
+        tuple(parse_address(text) for text in told["addresses"]),
+        parse_address(told["listen"]) if "listen" in told else None,
         tuple(sorted(leases["voters"])),
-        lengths,
-        Drill(address(drill["target"]), drill["every_ms"] / 1000) if drill else None,
-        Control(tuple(control["relays"]), control.get("service")) if control else None,
+        durations,
+        DrillConfig(parse_address(drill["target"]), drill["every_ms"] / 1000) if drill else None,
+        ControlConfig(tuple(control["relays"]), control.get("service")) if control else None,
     )
 
 
--- a/oakfork/fleet/services.py
+++ b/oakfork/fleet/services.py
@@ -8,10 +8,10 @@
 
 from oakfork.errors import FleetError
 from oakfork.fleet.config import read
-from oakfork.fleet.transport import Post
-from oakfork.leases.runner import Drill, Leases
-from oakfork.sockets.configuration import Surroundings
-from oakfork.sockets.discovery import rows
+from oakfork.fleet.transport import DatagramTransport
+from oakfork.leases.runner import LeaseDrillClient, LeaseRunner
+from oakfork.sockets.configuration import GatewayConfiguration
+from oakfork.sockets.discovery import server_rows
 
 if TYPE_CHECKING:
     from oakfork.control.agent import Agent
@@ -19,31 +19,31 @@
 LOOK = 0.1  # seconds between looks for the first state of the control part
 
 
-class Part:
+class FleetServices:
     """`listed` takes servers in discovery's form, and must not wait. Raises FleetError or AddressInUseError where it
     can't start."""
 
     def __init__(
-        self, path: str, here: Surroundings, log: BoundLogger, listed: Callable[[list[dict[str, Any]]], None]
+        self, path: str, here: GatewayConfiguration, log: BoundLogger, listed: Callable[[list[dict[str, Any]]], None]
     ) -> None:
         self.file = read(path)
         me = here.settings.index
         if me >= len(self.file.addresses):
             raise FleetError([f"addresses: none for this gateway, whose settings.index is {me}"])
         self.log = log
-        self.post = Post(self.file, me)
-        self.leases = Leases(self.file, me, self.post, log)
+        self.transport = DatagramTransport(self.file, me)
+        self.leases = LeaseRunner(self.file, me, self.transport, log)
         book = os.environ.get("LB_CONTRACTS")
         self.contracts = None
         if book:
             from oakfork.contracts.runner import Contracts
 
-            self.contracts = Contracts(book, self.file, me, self.post, self.leases, log)
+            self.contracts = Contracts(book, self.file, me, self.transport, self.leases, log)
         self.listed = listed
-        self.known = [str(row["id"]) for row in rows(here.known) if isinstance(row, dict) and "id" in row]
+        self.known = [str(row["id"]) for row in server_rows(here.known) if isinstance(row, dict) and "id" in row]
         self.agent = self._agent(here, log)  # what follows the control part; None where the file has none
 
-    def _agent(self, here: Surroundings, log: BoundLogger) -> "Agent | None":
+    def _agent(self, here: GatewayConfiguration, log: BoundLogger) -> "Agent | None":
         if not self.file.control:
             return None
         from oakfork.control.agent import Agent
@@ -54,7 +54,7 @@
 
     async def run(self) -> None:
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self.post.run)
+            nursery.start_soon(self.transport.run)
             nursery.start_soon(self.leases.run)
             if self.contracts:
                 nursery.start_soon(self.contracts.run)
@@ -62,7 +62,7 @@
                 nursery.start_soon(self.agent.run)
                 nursery.start_soon(self._settle)
             if self.file.drill:
-                nursery.start_soon(Drill(self.leases, self.file.drill.target, self.file.drill.every).run)
+                nursery.start_soon(LeaseDrillClient(self.leases, self.file.drill.target, self.file.drill.every).run)
 
     async def _settle(self) -> None:
         """Once the first state is there, what the configuration knew and the state doesn't is gone."""
@@ -86,4 +86,4 @@
 
     async def leave(self) -> None:
         await self.leases.leave()  # the control part is followed to the end: servers may drain until then
-        self.log.info("left the fleet", **{reason.replace(" ", "_"): n for reason, n in self.post.counts.items()})
+        self.log.info("left the fleet", **{reason.replace(" ", "_"): n for reason, n in self.transport.counts.items()})
--- a/oakfork/fleet/transport.py
+++ b/oakfork/fleet/transport.py
@@ -9,18 +9,18 @@
 
 from oakfork.fleet import codec
 from oakfork.fleet.config import FleetFile
-from oakfork.sockets.http_connection import bound
+from oakfork.sockets.http_connection import bind_socket
 
-OUTSIDER = 0xFFFF  # what is no gateway of the fleet, such as a stand-in that is acted upon
+OUTSIDE_GATEWAY = 0xFFFF  # what is no gateway of the fleet, such as a stand-in that is acted upon
 Handler = Callable[[int, Any], None]  # the sender's number, the message
 
 
-def clock() -> int:
+def steady_clock() -> int:
     """A machine's steady clock in tenths of a millisecond. It goes on while a process or the machine stands still."""
     return time.clock_gettime_ns(time.CLOCK_BOOTTIME) // 100_000
 
 
-class Post:
+class DatagramTransport:
     """`handlers`: who takes which kind of message. `counts` has what came, went, and was refused, by reason."""
 
     def __init__(self, file: FleetFile, me: int) -> None:
@@ -28,7 +28,7 @@
         self.numbers = {place: number for number, place in enumerate(file.addresses)}
         self.handlers: dict[type, Handler] = {}
         self.counts: Counter[str] = Counter()  # as many as reasons
-        self.sock = bound(socket.SOCK_DGRAM, file.listen or file.addresses[me])
+        self.sock = bind_socket(socket.SOCK_DGRAM, file.listen or file.addresses[me])
 
     async def run(self) -> None:
         try:
--- a/oakfork/lab/contract_drill.py
+++ b/oakfork/lab/contract_drill.py
@@ -9,11 +9,11 @@
 
 import trio
 
-from oakfork.lab.fake_services import DiscoveryStandIn, ServerStandIn, Work, entry
+from oakfork.lab.fake_services import FakeDiscovery, FakeServer, ServerWorkload, entry
 from oakfork.lab.fault_schedule import Trouble
-from oakfork.lab.gateway_processes import Rig
+from oakfork.lab.gateway_processes import GatewayProcesses
 from oakfork.lab.lease_drill import plain_configuration
-from oakfork.lab.load_generator import Generator, Load
+from oakfork.lab.load_generator import LoadGenerator, LoadSettings
 
 RESERVED, CAPACITY, PRESS = 30.0, 90.0, 3.0  # legs a second; all others ask for PRESS times the capacity
 GREED = 1.5  # the tenant asks for more than is reserved, or nothing shows a lack
@@ -24,10 +24,10 @@
 POLICIES = ("contracts", "even parts", "no contracts")
 
 
-class Press(Generator):
+class ContractLoadGenerator(LoadGenerator):
     """Open-loop load that keeps by second of meaning what came of it."""
 
-    def __init__(self, load: Load, first: int) -> None:
+    def __init__(self, load: LoadSettings, first: int) -> None:
         super().__init__(load)
         self.first, self.start = first, trio.current_time()
         self.asked: Counter[int] = Counter()
@@ -101,7 +101,7 @@
             "leases": {"voters": [0, 1, 2], "length_ms": 1000, "act_ms": 200, "drift_permille": 10},
         }
 
-    async def play(rig: Rig, discovery: DiscoveryStandIn, servers: list[ServerStandIn]) -> ContractDrill:
+    async def play(rig: GatewayProcesses, discovery: FakeDiscovery, servers: list[FakeServer]) -> ContractDrill:
         if policy == "even parts":
             for pair in rig.relays.ways:
                 rig.relays.ways[pair].cut = True
@@ -115,9 +115,13 @@
             "deadline_ms": 1500,
         }
         targets = tuple(rig.listens)
-        tenant = Press(Load((targets[0],) * uneven + targets[1:], RESERVED * GREED, seconds, seed=seed, **told), 0)
+        tenant = ContractLoadGenerator(
+            LoadSettings((targets[0],) * uneven + targets[1:], RESERVED * GREED, seconds, seed=seed, **told), 0
+        )
         told["customers"] = 500
-        others = Press(Load(targets, PRESS * CAPACITY, seconds, seed=seed + 1000, **told), FIRST_ID)
+        others = ContractLoadGenerator(
+            LoadSettings(targets, PRESS * CAPACITY, seconds, seed=seed + 1000, **told), FIRST_ID
+        )
         async with trio.open_nursery() as nursery:
             nursery.start_soon(tenant.run)
             nursery.start_soon(others.run)
@@ -134,7 +138,7 @@
             [others.ok[s] for s in range(seconds)],
         )
 
-    def allotter(rig: Rig) -> int:
+    def allotter(rig: GatewayProcesses) -> int:
         """Who said last that it holds that lease."""
         latest = (-1, 0)
         for index in range(gateways):
@@ -143,7 +147,7 @@
                     latest = max(latest, (int(line.split('"term": ')[1].split(",")[0]), index))
         return latest[1]
 
-    async def noticed(rig: Rig, whom: int, clients: tuple[Press, ...]) -> None:
+    async def noticed(rig: GatewayProcesses, whom: int, clients: tuple[ContractLoadGenerator, ...]) -> None:
         host, port = rig.listens[whom].split(":")
         await trio.sleep(NOTICE)
         for client in clients:
@@ -153,11 +157,11 @@
             client.down.clear()
 
     async def fault(
-        rig: Rig,
-        discovery: DiscoveryStandIn,
-        servers: list[ServerStandIn],
+        rig: GatewayProcesses,
+        discovery: FakeDiscovery,
+        servers: list[FakeServer],
         nursery: trio.Nursery,
-        clients: tuple[Press, ...],
+        clients: tuple[ContractLoadGenerator, ...],
     ) -> None:
         if kind in ("allotter killed", "allotter stopped"):
             whom = allotter(rig)
@@ -179,8 +183,8 @@
 
     async def all_of_it(folder: Path) -> ContractDrill:
         mean = SERVERS * 3 / (CAPACITY * 1.2)
-        servers = [ServerStandIn(Work(mean=mean, cores=3, waiting=20, seed=seed + n)) for n in range(SERVERS)]
-        discovery = DiscoveryStandIn([entry(n, server.address) for n, server in enumerate(servers)])
+        servers = [FakeServer(ServerWorkload(mean=mean, cores=3, waiting=20, seed=seed + n)) for n in range(SERVERS)]
+        discovery = FakeDiscovery([entry(n, server.address) for n, server in enumerate(servers)])
 
         def configure(index: int, listen: str) -> dict[str, Any]:
             told = plain_configuration(index, listen, gateways)
@@ -192,7 +196,7 @@
             }
 
         extra = {} if policy == "no contracts" else {"contracts": book}
-        rig = Rig(folder, gateways, seed, configure, fleet, extra)
+        rig = GatewayProcesses(folder, gateways, seed, configure, fleet, extra)
         async with trio.open_nursery() as nursery:
             for party in (*servers, discovery):
                 nursery.start_soon(party.run)
--- a/oakfork/lab/contract_model.py
+++ b/oakfork/lab/contract_model.py
@@ -11,12 +11,12 @@
 import numpy
 
 from oakfork.contracts import allocation, shares
-from oakfork.contracts.admission import Gate, Tenant
+from oakfork.contracts.admission import ContractAdmission, Tenant
 from oakfork.interface import SECOND
-from oakfork.lab.event_loop import Kind, Loop
-from oakfork.leases.durations import Lengths
+from oakfork.lab.event_loop import EventKind, EventLoop
+from oakfork.leases.durations import LeaseDurations
 
-LENGTHS = Lengths(2 * SECOND, 10, 0, 2 * SECOND)
+LENGTHS = LeaseDurations(2 * SECOND, 10, 0, 2 * SECOND)
 DEAL, KEPT, DELAY = SECOND // 2, 4, 50
 WAYS = ("even parts", "dealt parts", "an owner asked")
 WAIT = SECOND // 20  # for the owner's answer; then the even part decides, as slices do for quotas
@@ -36,15 +36,15 @@
     state_bytes: int  # of all gateways' parts
 
 
-class Model:
+class ContractModel:
     def __init__(self, way: str, gateways: int, rate: float, loss: float, seed: int, kill_at: int = 0) -> None:
         self.way, self.gateways, self.rate, self.loss = way, gateways, rate, loss
-        self.loop, self.dice, self.seed = Loop(), numpy.random.default_rng(seed), seed
+        self.loop, self.dice, self.seed = EventLoop(), numpy.random.default_rng(seed), seed
         self.loop.now = 100 * SECOND
-        self.even = [shares.even_part(rate, me, gateways) for me in range(gateways)]
-        self.parts = [shares.Part(even, 0) for even in self.even]
-        self.gates = [Gate(self.loop.now) for _ in range(gateways)]
-        self.owner = Gate(self.loop.now)
+        self.even = [shares.even_share(rate, me, gateways) for me in range(gateways)]
+        self.parts = [shares.Share(even, 0) for even in self.even]
+        self.gates = [ContractAdmission(self.loop.now) for _ in range(gateways)]
+        self.owner = ContractAdmission(self.loop.now)
         # Every gateway is asked, a tenth of them for half of it all; these change at half time.
         self.weights = self.dice.random(gateways) + 0.05
         self._shift()
@@ -64,7 +64,7 @@
     def send(self, act: Any, *args: Any) -> None:
         self.frames += 1
         if self.dice.random() >= self.loss:
-            self.loop.after(DELAY // 2 + round(self.dice.exponential(DELAY / 2)), Kind.NEWS, act, *args)
+            self.loop.after(DELAY // 2 + round(self.dice.exponential(DELAY / 2)), EventKind.NEWS, act, *args)
 
     def tenant(self, me: int) -> dict[int, Tenant]:
         part = self.parts[me].now(self.loop.now)
@@ -82,18 +82,20 @@
         else:
             ask = [False]
             self.send(self._owner, me, self.loop.now, ask)
-            self.loop.after(WAIT, Kind.TIMER, self._fallback, me, ask)
-        self.loop.after(max(1, round(self.dice.exponential(SECOND / per_second))), Kind.CLIENT, self.leg, per_second)
+            self.loop.after(WAIT, EventKind.TIMER, self._fallback, me, ask)
+        self.loop.after(
+            max(1, round(self.dice.exponential(SECOND / per_second))), EventKind.CLIENT, self.leg, per_second
+        )
 
     def _local(self, me: int) -> None:
-        if self.gates[me].takes(self.loop.now, 1, 0, self.tenant(me)).reserved:
+        if self.gates[me].admit(self.loop.now, 1, 0, self.tenant(me)).reserved:
             self.went.append(self.loop.now)
 
     def _owner(self, me: int, asked_at: int, ask: list[bool]) -> None:
         whole = {1: Tenant(int(self.rate * 1000), self.rate * 0.5, 1_000_000, 0)}
         if self.dead[0] <= self.loop.now < self.dead[1]:
             return
-        yes = self.owner.takes(self.loop.now, 1, 0, whole).reserved
+        yes = self.owner.admit(self.loop.now, 1, 0, whole).reserved
         if me == 0:
             self._answer(asked_at, yes, ask)
         else:
@@ -119,11 +121,11 @@
             self.demand[me] = 0.4 * self.asked[me] * SECOND / DEAL + 0.6 * self.demand[me]
             self.asked[me] = 0
         if not self.dead[0] <= now < self.dead[1]:
-            for me, deal in enumerate(allocation.dealt(self.even, self.heard)):
+            for me, deal in enumerate(allocation.allocate(self.even, self.heard)):
                 self.send(self._dealt, me, deal)
-        self.loop.after(DEAL, Kind.TIMER, self.deal)
+        self.loop.after(DEAL, EventKind.TIMER, self.deal)
 
-    def _dealt(self, me: int, deal: allocation.Deal) -> None:
+    def _dealt(self, me: int, deal: allocation.Allocation) -> None:
         self.deals[me] = self.loop.now + KEPT * DEAL, deal.lends, deal.borrows
         self.send(self.heard.__setitem__, me, round(self.demand[me] * 1000))
 
@@ -131,7 +133,7 @@
         for me, (until, _, borrows) in enumerate(self.deals):
             for lender, amount in borrows if self.loop.now < until else ():
                 self.send(self._borrow, me, lender, amount, self.loop.now)
-        self.loop.after(LENGTHS.lease // 3, Kind.TIMER, self.renew)
+        self.loop.after(LENGTHS.lease // 3, EventKind.TIMER, self.renew)
 
     def _borrow(self, me: int, lender: int, amount: int, asked_at: int) -> None:
         until, lends, _ = self.deals[lender]
@@ -149,7 +151,7 @@
         if self.way == "dealt parts":
             self.deal()
             self.renew()
-        self.loop.after(seconds * SECOND // 2, Kind.FAULT, self._shift)
+        self.loop.after(seconds * SECOND // 2, EventKind.FAULT, self._shift)
         self.loop.run(begun + seconds * SECOND)
         first = begun + 5 * SECOND  # what began empty is full, and demand is known
         by_second = numpy.bincount([(at - first) // SECOND for at in self.went if at >= first], minlength=seconds - 5)[
--- a/oakfork/lab/customers.py
+++ b/oakfork/lab/customers.py
@@ -7,11 +7,11 @@
 
 from oakfork import interface
 from oakfork.interface import SECOND
-from oakfork.lab.environment import Exchange, Stage
-from oakfork.lab.event_loop import Kind
-from oakfork.lab.gateway_model import Gateway
-from oakfork.lab.invariant_checker import Watched
-from oakfork.lab.world_config import MethodPlan, PlanOfCustomers
+from oakfork.lab.environment import Exchange, GatewayEnvironment
+from oakfork.lab.event_loop import EventKind
+from oakfork.lab.gateway_model import GatewayModel
+from oakfork.lab.invariant_checker import WatchedRpc
+from oakfork.lab.world_config import MethodConfig, PlanConfig
 
 SHIFT = 10 * SECOND  # the gateways that a customer comes through most change so often
 
@@ -19,7 +19,7 @@
 @dataclass(slots=True)
 class Customer:
     number: int
-    plan: PlanOfCustomers
+    plan: PlanConfig
     plan_index: int
     first: int
     spread: int
@@ -32,11 +32,11 @@
 
 
 @dataclass(slots=True)
-class Wish:
+class ClientRequest:
     """What a client wants, over all its tries."""
 
     customer: Customer
-    method: MethodPlan
+    method: MethodConfig
     method_index: int
     units: float
     born: int
@@ -44,10 +44,10 @@
     tries: int = 0
 
 
-class Town(Stage, Protocol):
+class CustomerEnvironment(GatewayEnvironment, Protocol):
     """The world as its customers see it."""
 
-    gateways: list[Gateway]
+    gateways: list[GatewayModel]
     down_since: dict[int, int]
     press: float
     surge: float
@@ -55,8 +55,8 @@
     def chance(self, stream: str) -> Any: ...
 
 
-class Crowd:
-    def __init__(self, world: Town) -> None:
+class CustomerPopulation:
+    def __init__(self, world: CustomerEnvironment) -> None:
         self.world, plan = world, world.plan
         self.dice = world.chance("clients")
         self.next_rpc = 0
@@ -93,11 +93,11 @@
             return
         uneven = self.world.plan.clients.uneven
         customer.weights = list(accumulate((1 - uneven) + uneven * 4 * self.dice.random(customer.spread) ** 4))
-        self.world.loop.after(SHIFT, Kind.CLIENT, self._shift, customer)
+        self.world.loop.after(SHIFT, EventKind.CLIENT, self._shift, customer)
 
     def _later(self, customer: Customer) -> None:
         wait = self.dice.exponential(1 / (customer.rate * self.world.surge))
-        self.world.loop.after(max(1, round(wait)), Kind.CLIENT, self._ask, customer)
+        self.world.loop.after(max(1, round(wait)), EventKind.CLIENT, self._ask, customer)
 
     def _ask(self, customer: Customer) -> None:
         if self.closed:
@@ -106,10 +106,10 @@
         self._later(customer)
         at = bisect(self.shares, self.dice.random() * self.shares[-1])
         method = self.world.plan.methods[min(at, len(self.shares) - 1)]
-        wish = Wish(customer, method, min(at, len(self.shares) - 1), 1.0, now, now + method.deadline)
-        self.world.tally.add("asked", now)
+        wish = ClientRequest(customer, method, min(at, len(self.shares) - 1), 1.0, now, now + method.deadline)
+        self.world.metrics.add("asked", now)
         if self._asks_inside(customer, wish.units, now):
-            self.world.tally.add("utility asked", now, method.utility * customer.plan.price)
+            self.world.metrics.add("utility asked", now, method.utility * customer.plan.price)
         self._try(wish)
 
     def _asks_inside(self, customer: Customer, units: float, now: int) -> bool:
@@ -133,7 +133,7 @@
     def _inside(self, customer: Customer, units: float, now: int) -> bool:
         return not customer.plan.rate or self.refill(customer, now) >= units
 
-    def gateway_for(self, customer: Customer) -> Gateway | None:
+    def gateway_for(self, customer: Customer) -> GatewayModel | None:
         """A gateway of its set, as the weights say; those long down are passed over."""
         world = self.world
         for _ in range(4):
@@ -143,30 +143,32 @@
                 return gateway
         return None
 
-    def _try(self, wish: Wish) -> None:
+    def _try(self, wish: ClientRequest) -> None:
         world, now = self.world, self.world.loop.now
         wish.tries += 1
         left = min(wish.until - now, round(wish.method.deadline * (0.5 + 0.5 * self.dice.random())))
         gateway = self.gateway_for(wish.customer)
         if left <= 0 or gateway is None or not gateway.up:
-            world.tally.add("no gateway", now)
+            world.metrics.add("no gateway", now)
             self._again(wish, 0)
             return
-        world.tally.add("tries", now)
-        world.loop.after(world.plan.links.client, Kind.CLIENT, self._reach, wish, gateway, gateway.life, now + left)
+        world.metrics.add("tries", now)
+        world.loop.after(
+            world.plan.links.client, EventKind.CLIENT, self._reach, wish, gateway, gateway.life, now + left
+        )
 
-    def _reach(self, wish: Wish, gateway: Gateway, life: int, until: int) -> None:
+    def _reach(self, wish: ClientRequest, gateway: GatewayModel, life: int, until: int) -> None:
         world, now = self.world, self.world.loop.now
         if not gateway.up or gateway.life != life:
             self._again(wish, 0)
             return
         if now >= until:  # its client gave up while it was on its way: nothing is owed
-            world.tally.add("given up on the way", now)
+            world.metrics.add("given up on the way", now)
             self._again(wish, 0)
             return
         self.next_rpc += 1
         rpc, customer = self.next_rpc, wish.customer
-        watched = Watched(wish.method, customer.number, customer.plan, gateway.number, now, until)
+        watched = WatchedRpc(wish.method, customer.number, customer.plan, gateway.number, now, until)
         exchange = Exchange(
             rpc, watched, wish.units, lambda answer, advice: self._answered(wish, exchange, answer, advice)
         )
@@ -182,8 +184,8 @@
             until - now,
             wish.tries > 1,
         )
-        world.loop.at(until + world.plan.links.client, Kind.CLIENT, self._given_up, wish, exchange, gateway, life)
-        world.loop.at(until + world.plan.answer_grace + 1, Kind.LOOK, world.checker.overdue, rpc, until)
+        world.loop.at(until + world.plan.links.client, EventKind.CLIENT, self._given_up, wish, exchange, gateway, life)
+        world.loop.at(until + world.plan.answer_grace + 1, EventKind.LOOK, world.checker.overdue, rpc, until)
         gateway.arrive(exchange, arrival)
 
     def sent_on(self, exchange: Exchange, customer: Customer) -> None:
@@ -195,41 +197,41 @@
                 customer.tokens -= exchange.units
             else:
                 value = exchange.watched.method.utility * customer.plan.price
-                self.world.tally.add("granted beyond quota", now, exchange.units)
-                self.world.tally.add("price of beyond", now, value * customer.plan.beyond_cost)
+                self.world.metrics.add("granted beyond quota", now, exchange.units)
+                self.world.metrics.add("price of beyond", now, value * customer.plan.beyond_cost)
         exchange.watched.beyond = not inside
 
-    def _answered(self, wish: Wish, exchange: Exchange, answer: str, advice: int) -> None:
+    def _answered(self, wish: ClientRequest, exchange: Exchange, answer: str, advice: int) -> None:
         world, now = self.world, self.world.loop.now
         beyond = exchange.watched.beyond
         world.checker.answer(exchange.rpc, now, answer)
-        world.tally.add(answer, now)
+        world.metrics.add(answer, now)
         customer = wish.customer
         if answer == "ok":
             took = now + world.plan.links.client - wish.born
-            world.tally.latency_of(now, took)
+            world.metrics.latency_of(now, took)
             value = wish.method.utility * customer.plan.price
             in_time = took <= wish.method.soft_deadline
             if not beyond:
-                world.tally.add("utility", now, value if in_time else value * wish.method.late_utility)
+                world.metrics.add("utility", now, value if in_time else value * wish.method.late_utility)
         elif answer == "pushed back":
             if (
                 customer.plan.rate
                 and not exchange.watched.call_outs
                 and self.refill(customer, now) >= max(1.0, customer.plan.burst / 2)
             ):
-                world.tally.add("pushed back with room", now)
+                world.metrics.add("pushed back with room", now)
             self._again(wish, advice)
 
-    def _given_up(self, wish: Wish, exchange: Exchange, gateway: Gateway, life: int) -> None:
+    def _given_up(self, wish: ClientRequest, exchange: Exchange, gateway: GatewayModel, life: int) -> None:
         """The client closes its connection, and asks once more if it has the time."""
         if not exchange.over:
             gateway.client_gone(exchange, life)
             self._again(wish, 0)
 
-    def _again(self, wish: Wish, advice: int) -> None:
+    def _again(self, wish: ClientRequest, advice: int) -> None:
         clients, now = self.world.plan.clients, self.world.loop.now
         wait = max(clients.wait, advice if clients.heeds_advice else 0)
         if wish.tries <= clients.retries and now + wait < wish.until:
-            self.world.tally.add("retries", now)
-            self.world.loop.after(max(1, wait), Kind.CLIENT, self._try, wish)
+            self.world.metrics.add("retries", now)
+            self.world.loop.after(max(1, wait), EventKind.CLIENT, self._try, wish)
--- a/oakfork/lab/datagram_relay.py
+++ b/oakfork/lab/datagram_relay.py
@@ -20,7 +20,7 @@
 
 
 @dataclass(slots=True)
-class Way:
+class RelayPath:
     """One direction between two parties. Times are seconds."""
 
     cut: bool = False
@@ -37,13 +37,13 @@
     return sock
 
 
-class Relays:
+class DatagramRelays:
     """`places`: where each party really takes datagrams. `seen[a][b]`: where a is to send what is for b."""
 
     def __init__(self, places: dict[Party, Place], seed: int) -> None:
         self.places, self.dice = places, random.Random(seed)
         self.socks = {(a, b): socket_here() for a in places for b in places if a != b}
-        self.ways = {pair: Way() for pair in self.socks}
+        self.ways = {pair: RelayPath() for pair in self.socks}
         self.waiting = 0
         self.carried = self.dropped = 0
 
--- a/oakfork/lab/environment.py
+++ b/oakfork/lab/environment.py
@@ -4,11 +4,11 @@
 from typing import Any, Callable, Mapping, Protocol, Sequence
 
 from oakfork import interface
-from oakfork.lab.event_loop import Loop
-from oakfork.lab.invariant_checker import Checker, Watched
-from oakfork.lab.run_metrics import Tally
+from oakfork.lab.event_loop import EventLoop
+from oakfork.lab.invariant_checker import InvariantChecker, WatchedRpc
+from oakfork.lab.run_metrics import RunMetrics
 from oakfork.lab.server_model import Job, Server
-from oakfork.lab.world_config import WorldPlan
+from oakfork.lab.world_config import WorldConfig
 
 
 class Policy(Protocol):
@@ -17,7 +17,7 @@
     def handle(self, now: int, event: interface.Event) -> Sequence[interface.Command]: ...
 
 
-Decide = Callable[[interface.GatewaySettings, int], Policy]
+PolicyFactory = Callable[[interface.GatewaySettings, int], Policy]
 
 
 @dataclass(slots=True)
@@ -35,7 +35,7 @@
     """One RPC at its gateway."""
 
     rpc: int
-    watched: Watched
+    watched: WatchedRpc
     units: float
     answered: Callable[[str, int], None]  # called with the answer's word and the advice
     index: int = -1
@@ -44,7 +44,7 @@
     sent: int = 0
 
 
-class Host(Protocol):
+class GatewayHost(Protocol):
     """A gateway as the world sees it."""
 
     number: int
@@ -55,19 +55,19 @@
     def handle(self, event: interface.Event, index: int | None = None) -> None: ...
 
 
-class Counting(Protocol):
+class CounterService(Protocol):
     def call(self, gateway: Any, call: interface.AddToCounter) -> None: ...
 
 
-class Stage(Protocol):
+class GatewayEnvironment(Protocol):
     """The world as a gateway of the model sees it."""
 
-    plan: WorldPlan
-    loop: Loop
-    checker: Checker
-    tally: Tally
-    decide: Decide
-    counter: Counting
+    plan: WorldConfig
+    loop: EventLoop
+    checker: InvariantChecker
+    metrics: RunMetrics
+    decide: PolicyFactory
+    counter: CounterService
 
     @property
     def servers(self) -> Mapping[int, Server]: ...
--- a/oakfork/lab/event_loop.py
+++ b/oakfork/lab/event_loop.py
@@ -9,7 +9,7 @@
 from typing import Any, Callable
 
 
-class Kind(IntEnum):
+class EventKind(IntEnum):
     """What comes first at the same instant: the world changes, then it is told, then it acts."""
 
     FAULT = 0  # something breaks or comes back
@@ -21,21 +21,21 @@
     LOOK = 6  # what is measured
 
 
-class Loop:
+class EventLoop:
     """A heap of what is to come. `heapq` was weighed against simpy: see docs/lab.md."""
 
     def __init__(self) -> None:
         self.now = 0
         self.played = 0
         self.order = 0
-        self.heap: list[tuple[int, Kind, int, Callable[..., None], tuple[Any, ...]]] = []
+        self.heap: list[tuple[int, EventKind, int, Callable[..., None], tuple[Any, ...]]] = []
 
-    def at(self, time: int, kind: Kind, act: Callable[..., None], *args: Any) -> None:
+    def at(self, time: int, kind: EventKind, act: Callable[..., None], *args: Any) -> None:
         """Plans an event; one in the past comes now."""
         self.order += 1
         heapq.heappush(self.heap, (max(time, self.now), kind, self.order, act, args))
 
-    def after(self, wait: int, kind: Kind, act: Callable[..., None], *args: Any) -> None:
+    def after(self, wait: int, kind: EventKind, act: Callable[..., None], *args: Any) -> None:
         self.at(self.now + wait, kind, act, *args)
 
     def run(self, until: int) -> None:
--- a/oakfork/lab/experiment.py
+++ b/oakfork/lab/experiment.py
@@ -224,7 +224,7 @@
     policy: str
     seed: int
     point: tuple[tuple[str, Any], ...]
-    world: world_config.WorldPlan
+    world: world_config.WorldConfig
 
     @property
     def key(self) -> str:
@@ -300,14 +300,14 @@
     return True
 
 
-def _world(told: dict[str, Any], faults: list[dict[str, Any]]) -> world_config.WorldPlan:
+def _world(told: dict[str, Any], faults: list[dict[str, Any]]) -> world_config.WorldConfig:
     repeats = {
         "idempotent": RepeatSafety.IDEMPOTENT,
         "deduplicated": RepeatSafety.DEDUPLICATED,
         "non-idempotent": RepeatSafety.NON_IDEMPOTENT,
     }
     servers, clients, links = told["servers"], told["clients"], told["links"]
-    return world_config.WorldPlan(
+    return world_config.WorldConfig(
         seconds=told["seconds"],
         gateways=told["gateways"],
         zones=told["zones"],
@@ -321,7 +321,7 @@
         probe_price=told["probe_price"],
         connection_price=told["connection_price"],
         methods=tuple(
-            world_config.MethodPlan(
+            world_config.MethodConfig(
                 m["name"],
                 m["share"],
                 tenths(m["work_ms"]),
@@ -336,8 +336,8 @@
             )
             for m in told["methods"]
         ),
-        plans=tuple(world_config.PlanOfCustomers(**p) for p in told["plans"]),
-        servers=world_config.ServerPlan(
+        plans=tuple(world_config.PlanConfig(**p) for p in told["plans"]),
+        servers=world_config.ServerConfig(
             servers["count"],
             servers["cores"],
             servers["waiting"],
@@ -348,10 +348,10 @@
             round(servers["fall_s"] * SECOND),
             servers["cells"],
         ),
-        clients=world_config.ClientPlan(
+        clients=world_config.ClientConfig(
             clients["retries"], tenths(clients["wait_ms"]), clients["heeds_advice"], clients["uneven"]
         ),
-        links=world_config.LinkPlan(
+        links=world_config.LinkConfig(
             tenths(links["client_ms"]),
             tenths(links["server_ms"]),
             tenths(links["peer_ms"]),
@@ -362,10 +362,10 @@
             round(links["idle_s"] * SECOND),
             tenths(links["connect_ms"]),
         ),
-        discovery=world_config.DiscoveryPlan(
+        discovery=world_config.DiscoveryConfig(
             tenths(told["discovery"]["late_ms"]), tenths(told["discovery"]["notice_ms"])
         ),
-        counter=world_config.CounterPlan(tenths(told["counter"]["takes_ms"]), tenths(told["counter"]["patience_ms"])),
+        counter=world_config.CounterConfig(tenths(told["counter"]["takes_ms"]), tenths(told["counter"]["patience_ms"])),
         faults=tuple(
             world_config.Fault(
                 f["kind"], round(f["at_s"] * SECOND), round(f["until_s"] * SECOND), f["share"], f["size"], f["zone"]
--- a/oakfork/lab/fake_services.py
+++ b/oakfork/lab/fake_services.py
@@ -17,12 +17,12 @@
 import trio
 
 from oakfork.errors import ConnectionFailedError
-from oakfork.sockets.http_connection import Link, Message
+from oakfork.sockets.http_connection import HttpConnection, HttpMessage
 
 MOST_CONNECTIONS = 2000
 
 
-class StandIn(ABC):
+class FakeService(ABC):
     """A party that answers HTTP/1.1 requests, in a trio nursery."""
 
     def __init__(self) -> None:
@@ -48,7 +48,7 @@
     async def _serve(self, sock: socket.socket) -> None:
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        link = Link(sock, h11.SERVER)
+        link = HttpConnection(sock, h11.SERVER)
         self.open += 1
         try:
             while True:
@@ -66,12 +66,12 @@
             link.close()
 
     @abstractmethod
-    async def answer(self, message: Message) -> tuple[int, bytes, list[tuple[str, str]]]:
+    async def answer(self, message: HttpMessage) -> tuple[int, bytes, list[tuple[str, str]]]:
         """Status, body and headers of the answer to one request."""
 
 
 @dataclass
-class Work:
+class ServerWorkload:
     """What a stand-in server does with RPCs, in seconds."""
 
     mean: float = 0.02
@@ -80,17 +80,17 @@
     seed: int = 1
 
 
-class ServerStandIn(StandIn):
+class FakeServer(FakeService):
     """Cores, a queue, and work drawn as in the model; `ran` counts effects by RPC."""
 
-    def __init__(self, work: Work) -> None:
+    def __init__(self, work: ServerWorkload) -> None:
         super().__init__()
         self.work, self.dice = work, numpy.random.default_rng(work.seed)
         self.cores = trio.CapacityLimiter(work.cores)
         self.ran: dict[bytes, int] = {}  # as many as RPCs of a bounded run
         self.probes = 0
 
-    async def answer(self, message: Message) -> tuple[int, bytes, list[tuple[str, str]]]:
+    async def answer(self, message: HttpMessage) -> tuple[int, bytes, list[tuple[str, str]]]:
         if message.head.target.startswith(b"/-/"):
             self.probes += 1
             return 200, b"", []
@@ -107,7 +107,7 @@
         return 200, b"made for " + rpc, []
 
 
-class DiscoveryStandIn(StandIn):
+class FakeDiscovery(FakeService):
     """An agent that tells one list, and changes of it to those who watch."""
 
     def __init__(self, servers: list[dict[str, Any]]) -> None:
@@ -119,7 +119,7 @@
         self.changed.set()
         self.changed = trio.Event()
 
-    async def answer(self, message: Message) -> tuple[int, bytes, list[tuple[str, str]]]:
+    async def answer(self, message: HttpMessage) -> tuple[int, bytes, list[tuple[str, str]]]:
         asked = re.search(rb"from=(\d+)&hold_ms=(\d+)", message.head.target)
         if asked and self.version <= int(asked[1]):
             with trio.move_on_after(min(60.0, int(asked[2]) / 1000)):
--- a/oakfork/lab/fenced_resource.py
+++ b/oakfork/lab/fenced_resource.py
@@ -12,12 +12,12 @@
 import trio
 
 from oakfork.fleet import codec
-from oakfork.fleet.transport import OUTSIDER, clock
+from oakfork.fleet.transport import OUTSIDE_GATEWAY, steady_clock
 from oakfork.leases import fence
-from oakfork.leases.messages import Act, Acted, Hello
+from oakfork.leases.messages import ActReply, ActRequest, ClockRequest
 
 
-class Taken(NamedTuple):
+class AcceptedAct(NamedTuple):
     at: int  # tenths of a millisecond
     end: int
     gateway: int
@@ -25,11 +25,11 @@
     term: int
 
 
-class Witness:
+class FencedResource:
     def __init__(self, sock: socket.socket, seed: int) -> None:
         self.sock, self.dice = sock, random.Random(seed)
         self.guard = fence.Fence(self.dice.getrandbits(60))
-        self.acts: list[Taken] = []  # as many as acts of one drill
+        self.acts: list[AcceptedAct] = []  # as many as acts of one drill
         self.refused: Counter[str] = Counter()
         self.fenced = True  # a variant of the drill takes what comes
 
@@ -44,22 +44,22 @@
                 frame = codec.unpack(data)
                 for message in frame.messages if frame else ():
                     if reply := self.take(message):
-                        self.sock.sendto(codec.pack(OUTSIDER, frame.edition, [reply]), place)
+                        self.sock.sendto(codec.pack(OUTSIDE_GATEWAY, frame.edition, [reply]), place)
         finally:
             self.sock.close()
 
     def take(self, message: object) -> object | None:
-        now = clock()
-        if isinstance(message, Hello):
-            return fence.clock(self.guard, now, message)
-        if not isinstance(message, Act):
+        now = steady_clock()
+        if isinstance(message, ClockRequest):
+            return fence.clock_reply(self.guard, now, message)
+        if not isinstance(message, ActRequest):
             return None
-        self.guard, verdict = fence.judge(self.guard, now, message.life, message.term, message.end)
+        self.guard, verdict = fence.check_act(self.guard, now, message.life, message.term, message.end)
         if verdict is fence.Verdict.TAKEN or not self.fenced:
-            self.acts.append(Taken(now, max(now, message.end), message.gateway, message.holder, message.term))
+            self.acts.append(AcceptedAct(now, max(now, message.end), message.gateway, message.holder, message.term))
         else:
             self.refused[verdict.value] += 1
-        return Acted(
+        return ActReply(
             message.task, message.number, list(fence.Verdict).index(verdict), self.guard.highest, self.guard.life, now
         )
 
@@ -69,11 +69,11 @@
 
     def holder(self) -> int | None:
         """Who acted within the last quarter of a second."""
-        recent = [act.gateway for act in self.acts[-1:] if clock() - act.at < 2_500]
+        recent = [act.gateway for act in self.acts[-1:] if steady_clock() - act.at < 2_500]
         return recent[0] if recent else None
 
 
-def faults(acts: list[Taken]) -> list[str]:
+def faults(acts: list[AcceptedAct]) -> list[str]:
     """What is wrong with a list of acts, in the order in which they were taken."""
     found, highest, who, last_end, last = [], 0, {}, 0, None
     for act in acts:
@@ -90,7 +90,7 @@
     return found
 
 
-def gap(acts: list[Taken], moment: int, within: int) -> int | None:
+def gap(acts: list[AcceptedAct], moment: int, within: int) -> int | None:
     """The longest time between two acts, one after the other, of which the first is the last before a moment or comes
     `within` that time after it; in tenths of a millisecond. None where no act followed."""
     times = [act.at for act in acts]
--- a/oakfork/lab/gateway_model.py
+++ b/oakfork/lab/gateway_model.py
@@ -5,17 +5,17 @@
 from oakfork import interface
 from oakfork.index_table import IndexTable
 from oakfork.interface import SECOND, ServerState, Status
-from oakfork.lab.environment import CallOut, Exchange, Policy, Stage
-from oakfork.lab.event_loop import Kind
+from oakfork.lab.environment import CallOut, Exchange, GatewayEnvironment, Policy
+from oakfork.lab.event_loop import EventKind
 from oakfork.lab.server_model import Server
 
 EVERYONE = 0xFFFF
 
 
-class Gateway:
+class GatewayModel:
     """All that dies with a process stands in `life`: what was planned for an earlier life is void."""
 
-    def __init__(self, world: Stage, number: int, zone: int) -> None:
+    def __init__(self, world: GatewayEnvironment, number: int, zone: int) -> None:
         self.world, self.number, self.zone = world, number, zone
         self.life, self.up, self.deaf = 0, False, False
         self.policy: Policy | None = None
@@ -93,7 +93,7 @@
             self.mail_second, self.mail = now // SECOND, 0.0
         self.mail += 1
         if self.mail > self.world.plan.links.peer_frames_per_s:
-            self.world.tally.add("frames not taken", now)
+            self.world.metrics.add("frames not taken", now)
             return
         self.handle(interface.PeerFrame(sender, data))
 
@@ -133,9 +133,9 @@
                 call_out = exchange.call_outs.get(number) if exchange else None
                 if call_out and not call_out.over:
                     self._withdraw(call_out)
-                    loop.after(1, Kind.ENDING, self.ended, exchange, call_out, Status.CANCELLED, self.life)
+                    loop.after(1, EventKind.ENDING, self.ended, exchange, call_out, Status.CANCELLED, self.life)
             case interface.SetTimer(token, after):
-                loop.after(after, Kind.TIMER, self.timer, token, self.life)
+                loop.after(after, EventKind.TIMER, self.timer, token, self.life)
             case interface.SendPeerFrame(peer, data):
                 world.frame(self, peer, data)
             case interface.ProbeServer(server):
@@ -168,14 +168,14 @@
         self.index_table.rpc_entries[exchange.index].open_call_outs += 1
         call_out = exchange.call_outs[number] = CallOut(number, server, now)
         world.checker.sent(exchange.rpc, self.number, server.number, now)
-        world.tally.add("call-outs", now)
+        world.metrics.add("call-outs", now)
         if number == 0:
-            world.tally.asks.record_value(max(1, now - exchange.watched.taken))
+            world.metrics.asks.record_value(max(1, now - exchange.watched.taken))
         fresh = self.connection(server)
         wait = world.distance(self.zone, server.zone) + (world.plan.links.handshake if fresh else 0)
-        world.loop.after(wait, Kind.SERVER, world.reach, self, exchange, call_out, fresh, self.life)
+        world.loop.after(wait, EventKind.SERVER, world.reach, self, exchange, call_out, fresh, self.life)
         left = exchange.watched.dl - now + 10
-        world.loop.after(left, Kind.ENDING, self._timed_out, exchange, call_out, self.life)
+        world.loop.after(left, EventKind.ENDING, self._timed_out, exchange, call_out, self.life)
 
     def connection(self, server: Server) -> bool:
         """True for a new one."""
@@ -184,7 +184,7 @@
             if now - kept.pop() < self.world.plan.links.idle:
                 return False
             server.connections -= 1
-        self.world.tally.add("connections", now)
+        self.world.metrics.add("connections", now)
         return True
 
     def _timed_out(self, exchange: Exchange, call_out: CallOut, life: int) -> None:
--- a/oakfork/lab/gateway_processes.py
+++ b/oakfork/lab/gateway_processes.py
@@ -17,16 +17,16 @@
 import trio
 
 from oakfork.errors import DrillProcessError
-from oakfork.lab.datagram_relay import Relays, socket_here
+from oakfork.lab.datagram_relay import DatagramRelays, socket_here
 from oakfork.lab.fault_schedule import HOLDER, Trouble
-from oakfork.lab.fenced_resource import Witness
-from oakfork.lab.port_allocator import free_places, text
+from oakfork.lab.fenced_resource import FencedResource
+from oakfork.lab.port_allocator import free_addresses, text
 
 WITNESS = "witness"
 READY = 20.0  # seconds in which a process has to be ready
 
 
-class Rig:
+class GatewayProcesses:
     """`configure(index, listen)` gives a gateway's configuration, `fleet(index, addresses, witness)` its fleet file."""
 
     def __init__(
@@ -40,12 +40,12 @@
     ) -> None:
         self.folder, self.gateways, self.seed = folder, gateways, seed
         self.configure, self.fleet, self.extra = configure, fleet, extra or {}
-        places: dict[Any, tuple[str, int]] = dict(enumerate(free_places(gateways, socket.SOCK_DGRAM)))
+        places: dict[Any, tuple[str, int]] = dict(enumerate(free_addresses(gateways, socket.SOCK_DGRAM)))
         sock = socket_here()
-        self.witness = Witness(sock, seed)
+        self.witness = FencedResource(sock, seed)
         places[WITNESS] = sock.getsockname()
-        self.relays = Relays(places, seed)
-        self.listens = [text(place) for place in free_places(gateways, socket.SOCK_STREAM)]
+        self.relays = DatagramRelays(places, seed)
+        self.listens = [text(place) for place in free_addresses(gateways, socket.SOCK_STREAM)]
         self.processes: list[subprocess.Popen | None] = [None] * gateways
         self.stopped: set[int] = set()
         self.log: list[str] = []  # what was done, as many lines as troubles
@@ -97,7 +97,7 @@
         if scope.cancelled_caught:
             raise DrillProcessError(f"not all {self.gateways} gateways were ready within {READY:.0f} s")
 
-    async def run(self, play: Callable[["Rig"], Any]) -> Any:
+    async def run(self, play: Callable[["GatewayProcesses"], Any]) -> Any:
         """Starts all, plays, ends all."""
         result, failed = None, None
         try:
--- a/oakfork/lab/invariant_checker.py
+++ b/oakfork/lab/invariant_checker.py
@@ -8,18 +8,18 @@
 from dataclasses import dataclass, field
 
 from oakfork.interface import SECOND, RepeatSafety
-from oakfork.lab.world_config import MethodPlan, PlanOfCustomers, WorldPlan
+from oakfork.lab.world_config import MethodConfig, PlanConfig, WorldConfig
 
 MOST_LINES = 50  # told of each rule; all are counted
 
 
 @dataclass(slots=True)
-class Watched:
+class WatchedRpc:
     """One RPC that a gateway has taken."""
 
-    method: MethodPlan
+    method: MethodConfig
     customer: int
-    plan: PlanOfCustomers
+    plan: PlanConfig
     gateway: int
     taken: int
     dl: int
@@ -33,12 +33,12 @@
     lost: bool = False  # its gateway was killed: the client's to retry
 
 
-class Checker:
+class InvariantChecker:
     """`rpcs` holds those that are not yet answered or have call-outs out; emptied as they end."""
 
-    def __init__(self, world: WorldPlan) -> None:
+    def __init__(self, world: WorldConfig) -> None:
         self.world = world
-        self.rpcs: dict[int, Watched] = {}
+        self.rpcs: dict[int, WatchedRpc] = {}
         self.ceilings: dict[int, tuple[float, int]] = {}  # customer -> tokens, when; as many as customers
         self.told: dict[tuple[int, int], int] = {}  # (gateway, server) -> since when it is told not to send
         self.cold: dict[int, deque[tuple[int, float]]] = {}  # server -> work sent; emptied when it stops
@@ -54,7 +54,7 @@
 
     # Rule 1 and conservation
 
-    def took(self, rpc: int, watched: Watched) -> None:
+    def took(self, rpc: int, watched: WatchedRpc) -> None:
         self.taken += 1
         self.rpcs[rpc] = watched
 
@@ -95,7 +95,7 @@
                 del self.rpcs[rpc]
         self.told = {key: since for key, since in self.told.items() if key[0] != gateway}
 
-    def _forget(self, rpc: int, watched: Watched) -> None:
+    def _forget(self, rpc: int, watched: WatchedRpc) -> None:
         if watched.final >= 0 and watched.ended == watched.call_outs:
             del self.rpcs[rpc]
 
@@ -140,7 +140,7 @@
     def ready_told(self, gateway: int, server: int) -> None:
         self.told.pop((gateway, server), None)
 
-    def reached(self, rpc: int, watched: Watched, units: float, now: int) -> None:
+    def reached(self, rpc: int, watched: WatchedRpc, units: float, now: int) -> None:
         """The first call-out of an RPC has reached a server whole: its units leave the ceiling."""
         plan = watched.plan
         if watched.drawn or not plan.ceiling_rate:
@@ -155,7 +155,7 @@
 
     # Rule 2: what runs
 
-    def ran(self, rpc: int, watched: Watched, group: int, sent_at: int, now: int) -> None:
+    def ran(self, rpc: int, watched: WatchedRpc, group: int, sent_at: int, now: int) -> None:
         """An effect. The world says which group of servers would know a repeat."""
         method = watched.method
         if method.repeat == RepeatSafety.IDEMPOTENT:
--- a/oakfork/lab/lease_drill.py
+++ b/oakfork/lab/lease_drill.py
@@ -8,11 +8,11 @@
 
 import trio
 
-from oakfork.fleet.transport import clock
+from oakfork.fleet.transport import steady_clock
 from oakfork.lab import fault_schedule
 from oakfork.lab.fault_schedule import Trouble
 from oakfork.lab.fenced_resource import faults, gap
-from oakfork.lab.gateway_processes import Rig
+from oakfork.lab.gateway_processes import GatewayProcesses
 
 
 def plain_configuration(index: int, listen: str, gateways: int) -> dict[str, Any]:
@@ -80,16 +80,16 @@
             },
         }
 
-    async def play(rig: Rig) -> LeaseDrill:
+    async def play(rig: GatewayProcesses) -> LeaseDrill:
         with trio.move_on_after(20 * scale + 10):  # the first lease: voters abstain at first
             while rig.witness.holder() is None:
                 await trio.sleep(0.01)
-        begun, carried = clock(), rig.relays.carried
+        begun, carried = steady_clock(), rig.relays.carried
         with trio.move_on_after(3 * seconds + 30):
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(rig.play, drawn)
                 await trio.sleep(seconds)
-        took = (clock() - begun) / 10_000
+        took = (steady_clock() - begun) / 10_000
         await trio.sleep(4 * scale)  # what is late has come
         acts = rig.witness.acts
         result = LeaseDrill(
@@ -111,7 +111,7 @@
         return result
 
     with tempfile.TemporaryDirectory(prefix="oakfork-drill-") as folder:
-        rig = Rig(Path(folder), gateways, seed, partial(plain_configuration, gateways=gateways), fleet)
+        rig = GatewayProcesses(Path(folder), gateways, seed, partial(plain_configuration, gateways=gateways), fleet)
         result = trio.run(rig.run, play)
     if keep is not None:
         keep.mkdir(parents=True, exist_ok=True)
--- a/oakfork/lab/lease_model.py
+++ b/oakfork/lab/lease_model.py
@@ -11,16 +11,16 @@
 import numpy
 
 from oakfork.fleet.codec import pack, unpack
-from oakfork.fleet.config import Edition
+from oakfork.fleet.config import FleetRevision
 from oakfork.interface import SECOND
 from oakfork.lab.datagram_relay import HEADERS
-from oakfork.lab.event_loop import Kind, Loop
+from oakfork.lab.event_loop import EventKind, EventLoop
 from oakfork.leases import holder, voter
-from oakfork.leases.durations import Lengths
-from oakfork.leases.messages import Ask, Free, Grant, Refusal, Release
+from oakfork.leases.durations import LeaseDurations
+from oakfork.leases.messages import Ask, Grant, Refusal, Release, VoteFreed
 
-EDITION = Edition(1, (1 << 63) - 1, 0)
-LENGTHS = Lengths(lease=3 * SECOND, drift=10, act=SECOND // 4, longest=3 * SECOND)
+EDITION = FleetRevision(1, (1 << 63) - 1, 0)
+LENGTHS = LeaseDurations(lease=3 * SECOND, drift=10, act=SECOND // 4, longest=3 * SECOND)
 
 
 @dataclass(frozen=True, slots=True)
@@ -40,10 +40,10 @@
     processor: float  # seconds a second, of the busiest voter: frames read and written, and its machines
 
 
-class Fleet:
+class LeaseFleetModel:
     def __init__(self, gateways: int, voters: int, loss: float, seed: int, delay: int = 50) -> None:
         self.gateways, self.loss, self.delay, self.seed = gateways, loss, delay, seed
-        self.loop, self.dice = Loop(), numpy.random.default_rng(seed)
+        self.loop, self.dice = EventLoop(), numpy.random.default_rng(seed)
         self.loop.now = 100 * SECOND
         self.rates = self.dice.integers(990, 1011, voters)  # per mille: each clock's own
         self.voters, self.lives, self.frames, self.sent = voters, 0, 0, [0] * gateways
@@ -79,7 +79,7 @@
         self.frames, self.sent[sender] = self.frames + 1, self.sent[sender] + 1
         if self.dice.random() >= self.loss:
             wait = self.delay // 2 + round(self.dice.exponential(self.delay / 2))
-            self.loop.after(max(1, wait), Kind.NEWS, self.read, to, frame)
+            self.loop.after(max(1, wait), EventKind.NEWS, self.read, to, frame)
 
     def read(self, to: int, frame: bytes) -> None:
         self.came[to] += len(frame) + HEADERS
@@ -93,27 +93,27 @@
             return
         now, chance = self.clock(to), float(self.dice.random())
         replies: list[tuple[int, Any]] = []
-        said: holder.Said = ()
+        said: holder.OutgoingMessages = ()
         with self.spending(to):
             match message:
                 case Ask():
-                    self.votes[to], reply = voter.asked(self.votes[to], now, message, LENGTHS, to)
+                    self.votes[to], reply = voter.on_ask(self.votes[to], now, message, LENGTHS, to)
                     replies = [(message.gateway, reply)]
                 case Release():
-                    self.votes[to], hint = voter.released(self.votes[to], now, message, to)
+                    self.votes[to], hint = voter.on_release(self.votes[to], now, message, to)
                     replies = [hint] if hint else []
                 case Grant():
-                    self.ones[to] = holder.granted(self.ones[to], now, message, LENGTHS)
+                    self.ones[to] = holder.on_grant(self.ones[to], now, message, LENGTHS)
                 case Refusal():
-                    self.ones[to], said = holder.refused(self.ones[to], now, message, LENGTHS, 0, chance)
-                case Free():
-                    self.ones[to] = holder.freed(self.ones[to], now)
+                    self.ones[to], said = holder.on_refusal(self.ones[to], now, message, LENGTHS, 0, chance)
+                case VoteFreed():
+                    self.ones[to] = holder.on_free(self.ones[to], now)
         for reply in replies:
             self.send(to, *reply)
         self.say(to, said)
         self.plan(to)
 
-    def say(self, sender: int, said: holder.Said) -> None:
+    def say(self, sender: int, said: holder.OutgoingMessages) -> None:
         for message in said:
             for to in range(self.voters):
                 self.send(sender, to, message)
@@ -121,13 +121,13 @@
     def plan(self, me: int) -> None:
         wait = max(1, (self.ones[me].wake - self.clock(me)) * 1000 // int(self.rates[me]) + 1)
         if wait < 3600 * SECOND:
-            self.loop.after(wait, Kind.TIMER, self.wake, me, self.ones[me].life)
+            self.loop.after(wait, EventKind.TIMER, self.wake, me, self.ones[me].life)
 
     def wake(self, me: int, life: int) -> None:
         if self.up[me] and self.ones[me].life == life and self.clock(me) >= self.ones[me].wake:
             now, chance = self.clock(me), float(self.dice.random())
             with self.spending(me):
-                self.ones[me], said = holder.woken(self.ones[me], now, LENGTHS, 0, chance)
+                self.ones[me], said = holder.on_timer(self.ones[me], now, LENGTHS, 0, chance)
             self.say(me, said)
             self.plan(me)
 
@@ -141,19 +141,19 @@
         if holding and self.dead_since is not None:
             self.waits.append((self.loop.now - self.dead_since) / SECOND)
             self.dead_since = None
-        self.loop.after(SECOND // 50, Kind.LOOK, self.look)
+        self.loop.after(SECOND // 50, EventKind.LOOK, self.look)
 
     def kill_holder(self, every: int) -> None:
         """It is back after a second with nothing."""
         if holding := self.holding():
             me, self.dead_since = holding[0], self.loop.now
             self.up[me] = False
-            self.loop.after(SECOND, Kind.FAULT, self.back, me)
-        self.loop.after(every, Kind.FAULT, self.kill_holder, every)
+            self.loop.after(SECOND, EventKind.FAULT, self.back, me)
+        self.loop.after(every, EventKind.FAULT, self.kill_holder, every)
 
     def back(self, me: int) -> None:
         self.up[me], self.ones[me] = True, self.fresh(me)
-        self.votes[me] = voter.started(self.clock(me), LENGTHS, self.loop.now)
+        self.votes[me] = voter.initial_vote(self.clock(me), LENGTHS, self.loop.now)
         self.plan(me)
 
     def run(self, seconds: int, kill_every: int) -> Result:
@@ -161,7 +161,7 @@
             self.wake(me, self.ones[me].life)
         self.look()
         if kill_every:
-            self.loop.after(kill_every, Kind.FAULT, self.kill_holder, kill_every)
+            self.loop.after(kill_every, EventKind.FAULT, self.kill_holder, kill_every)
         self.loop.run(self.loop.now + seconds * SECOND)
         size = sum(sys.getsizeof(one) + sys.getsizeof(one.grants) + sys.getsizeof(one.voters) for one in self.ones)
         size += sum(map(sys.getsizeof, self.votes))
--- a/oakfork/lab/load_generator.py
+++ b/oakfork/lab/load_generator.py
@@ -11,8 +11,8 @@
 from hdrh.histogram import HdrHistogram
 
 from oakfork.errors import ConfigurationError, ConnectionFailedError, LoadSettingsError
-from oakfork.sockets.configuration import Address, address
-from oakfork.sockets.http_connection import Link, connect
+from oakfork.sockets.configuration import Address, parse_address
+from oakfork.sockets.http_connection import HttpConnection, connect
 
 MOST_RPCS = 1_000_000
 BEHIND = 0.010  # seconds: later than that, the generator itself was late
@@ -21,7 +21,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Load:
+class LoadSettings:
     gateways: tuple[str, ...]
     rate: float
     seconds: float
@@ -66,7 +66,7 @@
 def loopback(text: str) -> Address:
     """The address, if it is one of this machine's loopback; names are not looked up."""
     try:
-        host, port = address(text)
+        host, port = parse_address(text)
         inside = ipaddress.ip_address(host).is_loopback
     except (ConfigurationError, ValueError):
         raise LoadSettingsError(f"not an address of the form 127.0.0.1:8443: {text!r}") from None
@@ -75,15 +75,15 @@
     return host, port
 
 
-class Generator:
-    def __init__(self, load: Load) -> None:
+class LoadGenerator:
+    def __init__(self, load: LoadSettings) -> None:
         self.load, self.targets = load, [loopback(text) for text in load.gateways]
         if load.rate * load.seconds > MOST_RPCS:
             raise LoadSettingsError(f"over {MOST_RPCS} RPCs")
         self.dice = numpy.random.default_rng(load.seed)
         self.answers: Counter[str] = Counter()
         self.latency, self.service = HdrHistogram(1, LONGEST, 3), HdrHistogram(1, LONGEST, 3)
-        self.free: dict[Address, deque[Link]] = {target: deque() for target in self.targets}
+        self.free: dict[Address, deque[HttpConnection]] = {target: deque() for target in self.targets}
         self.room = trio.CapacityLimiter(load.connections)
         self.opened = self.behind = self.waited = self.wrong = 0
         self.worst = 0.0
@@ -123,7 +123,7 @@
             link = None
             while kept and not fresh and link is None:
                 link = kept.popleft()
-                if not link.lively():
+                if not link.is_reusable():
                     link.close()
                     link = None
             try:
@@ -137,10 +137,10 @@
                     raise
             except ConnectionFailedError as end:
                 if new:
-                    return end.ending.name.lower()
+                    return end.outcome.name.lower()
         return "none"
 
-    async def _ask(self, link: Link, target: Address, customer: int, rpc: int, meant: float) -> str:
+    async def _ask(self, link: HttpConnection, target: Address, customer: int, rpc: int, meant: float) -> str:
         load, sent = self.load, trio.current_time()
         left = max(0, int(load.deadline_ms - (sent - meant) * 1000))
         total = len(set(self.targets))
@@ -195,5 +195,5 @@
         )
 
 
-def run(load: Load) -> Report:
-    return trio.run(Generator(load).run)
+def run(load: LoadSettings) -> Report:
+    return trio.run(LoadGenerator(load).run)
--- a/oakfork/lab/port_allocator.py
+++ b/oakfork/lab/port_allocator.py
@@ -24,7 +24,7 @@
     return int(first), int(last)
 
 
-class Ports:
+class PortAllocator:
     """A block of ports and the claim to it. Raises DrillProcessError if all blocks of the range are claimed."""
 
     def __init__(self, first: int, last: int) -> None:
@@ -57,14 +57,14 @@
         return places
 
 
-_ours: list[Ports] = []  # one at most: the block of this process; a child made by a fork claims its own
+_ours: list[PortAllocator] = []  # one at most: the block of this process; a child made by a fork claims its own
 
 
-def free_places(number: int, kind: Any) -> list[Place]:
+def free_addresses(number: int, kind: Any) -> list[Place]:
     """Places for processes that this one starts; raises DrillProcessError.
     `OAKFORK_RIG_PORTS` names the range of ports."""
     if not _ours or _ours[0].owner != os.getpid():
-        _ours[:] = [Ports(*_range())]
+        _ours[:] = [PortAllocator(*_range())]
     return _ours[0].free(number, kind)
 
 
--- a/oakfork/lab/run_metrics.py
+++ b/oakfork/lab/run_metrics.py
@@ -10,7 +10,7 @@
 LONGEST = 600 * SECOND
 
 
-class Tally:
+class RunMetrics:
     def __init__(self, seconds: int, start: int) -> None:
         self.seconds, self.start = seconds, start
         self.sums: Counter[str] = Counter()
--- a/oakfork/lab/scale/added_latency_backends.py
+++ b/oakfork/lab/scale/added_latency_backends.py
@@ -17,9 +17,9 @@
 import trio
 
 from oakfork.errors import ConnectionFailedError, DrillProcessError
-from oakfork.lab.fake_services import DiscoveryStandIn, ServerStandIn, Work, entry
-from oakfork.sockets.http_connection import Message
-from oakfork.sockets.outcomes import Ending
+from oakfork.lab.fake_services import FakeDiscovery, FakeServer, ServerWorkload, entry
+from oakfork.sockets.http_connection import HttpMessage
+from oakfork.sockets.outcomes import Outcome
 
 LIFE = 900.0  # seconds
 MOST_SERVED = 200_000
@@ -36,15 +36,15 @@
     answered: int
 
 
-class SteadyServer(ServerStandIn):
+class SteadyServer(FakeServer):
     """Work of a fixed length; may hang, or break a part of its connections over a request that it has taken."""
 
     def __init__(self, number: int, seconds: float, served: list[Served]) -> None:
-        super().__init__(Work(seconds, 64, 1000, number))
+        super().__init__(ServerWorkload(seconds, 64, 1000, number))
         self.number, self.served = number, served
         self.hangs, self.breaks, self.luck = False, 0.0, random.Random(number)
 
-    async def answer(self, message: Message) -> tuple[int, bytes, list[tuple[str, str]]]:
+    async def answer(self, message: HttpMessage) -> tuple[int, bytes, list[tuple[str, str]]]:
         came = perf_counter_ns()
         if self.hangs:
             await trio.sleep_forever()
@@ -52,7 +52,7 @@
         if rpc is None or message.head.target.startswith(b"/-/"):
             return await super().answer(message)
         if self.luck.random() < self.breaks:
-            raise ConnectionFailedError(Ending.GIVEN_UP)
+            raise ConnectionFailedError(Outcome.GIVEN_UP)
         async with self.cores:
             await trio.sleep(self.work.mean)
         if len(self.served) < MOST_SERVED:
@@ -60,7 +60,7 @@
         return 200, b"made for " + rpc, []
 
 
-class ChangingList(DiscoveryStandIn):
+class ChangingList(FakeDiscovery):
     """Tells those who watch the entries that have changed since, not the whole list."""
 
     def begin(self, servers: list[dict[str, Any]]) -> None:
@@ -74,7 +74,7 @@
         self.changes.append((self.version + 1, row))
         self.change(self.servers)
 
-    async def answer(self, message: Message) -> tuple[int, bytes, list[tuple[str, str]]]:
+    async def answer(self, message: HttpMessage) -> tuple[int, bytes, list[tuple[str, str]]]:
         status, body, headers = (
             await super().answer(message)
             if b"from=" not in message.head.target
--- a/oakfork/lab/scale/added_latency_gateways.py
+++ b/oakfork/lab/scale/added_latency_gateways.py
@@ -15,12 +15,12 @@
 import trio
 
 from oakfork.errors import ConnectionFailedError, DrillProcessError
-from oakfork.lab.datagram_relay import Relays
-from oakfork.lab.load_generator import Generator, Load
-from oakfork.lab.port_allocator import free_places, text
+from oakfork.lab.datagram_relay import DatagramRelays
+from oakfork.lab.load_generator import LoadGenerator, LoadSettings
+from oakfork.lab.port_allocator import free_addresses, text
 from oakfork.lab.scale import traced_gateway
 from oakfork.lab.scale.added_latency_backends import ROOT
-from oakfork.sockets.http_connection import Link, connect, plain
+from oakfork.sockets.http_connection import HttpConnection, connect, request_head
 
 READY = 60.0  # seconds in which the gateways of a tier have to be ready
 LEAVING = 12.0  # seconds in which they have to leave
@@ -83,10 +83,10 @@
         fleet: Callable[[int, list[str]], dict[str, Any]] | None = None,
     ) -> None:
         self.folder, self.name, self.module, self.gateways = folder, name, module, gateways
-        datagrams = free_places(2 * gateways if fleet else gateways, socket.SOCK_DGRAM)
+        datagrams = free_addresses(2 * gateways if fleet else gateways, socket.SOCK_DGRAM)
         places = dict(enumerate(datagrams[:gateways]))
-        self.listens = [text(place) for place in free_places(gateways, socket.SOCK_STREAM)]
-        self.relays = Relays(places, seed) if relayed else None
+        self.listens = [text(place) for place in free_addresses(gateways, socket.SOCK_STREAM)]
+        self.relays = DatagramRelays(places, seed) if relayed else None
         self.processes: list[subprocess.Popen] = []
         self.fleet = fleet is not None
         if fleet is not None:
@@ -195,7 +195,7 @@
     try:
         link = await connect((host, int(port)), 1.0)
         try:
-            await link.write(plain("GET", "/-/ready", (host, int(port))))
+            await link.write(request_head("GET", "/-/ready", (host, int(port))))
             return (await link.read()).head.status_code == 200
         finally:
             link.close()
@@ -213,14 +213,14 @@
     status: str
 
 
-class Timed(Generator):
+class Timed(LoadGenerator):
     """The open-loop generator, which keeps what each RPC took on its connection."""
 
-    def __init__(self, load: Load) -> None:
+    def __init__(self, load: LoadSettings) -> None:
         super().__init__(load)
         self.rows: list[Row] = []
 
-    async def _ask(self, link: Link, target: Any, customer: int, rpc: int, meant: float) -> str:
+    async def _ask(self, link: HttpConnection, target: Any, customer: int, rpc: int, meant: float) -> str:
         begun = perf_counter_ns()
         status = await super()._ask(link, target, customer, rpc, meant)
         self.rows.append(Row(f"{rpc:016x}", text(target), begun, perf_counter_ns(), status))
@@ -235,6 +235,8 @@
 
 async def play(targets: list[str], rate: float, seconds: float, deadline_ms: float, seed: int) -> Block:
     """Some seconds of RPCs to these, at random; ends with the last answer or deadline."""
-    client = Timed(Load(tuple(targets), rate, seconds, 200, CUSTOMERS, "GET", METHOD, PLAN, int(deadline_ms), seed))
+    client = Timed(
+        LoadSettings(tuple(targets), rate, seconds, 200, CUSTOMERS, "GET", METHOD, PLAN, int(deadline_ms), seed)
+    )
     report = await client.run()
     return Block(client.rows, report.answers, report.behind)
--- a/oakfork/lab/scale/fleet_run.py
+++ b/oakfork/lab/scale/fleet_run.py
@@ -21,7 +21,7 @@
 from oakfork.control.follower_server import EGRESS
 from oakfork.control.messages import EMPTY, Position
 from oakfork.errors import DrillProcessError, PublisherTimeoutError
-from oakfork.lab.port_allocator import free_places, text
+from oakfork.lab.port_allocator import free_addresses, text
 from oakfork.lab.scale import fleet_verifier, generated_state
 from oakfork.lab.scale.faulty_connections import Way
 from oakfork.lab.scale.fleet_verifier import Acked, End, Reached
@@ -88,7 +88,7 @@
         self.doomed: list[Fault] = []  # of the publisher, for the next change sets
         self.log: list[str] = []  # what was done
         self.start_at = EMPTY
-        places = free_places(1 + shape.relays, socket.SOCK_STREAM)
+        places = free_addresses(1 + shape.relays, socket.SOCK_STREAM)
         self.publisher, self.relays = places[0], places[1:]
         self.ways: dict[tuple[int, int], Way] = {}  # from a relay to another one, or the publisher: -1
         self.operator: Way | None = None
--- a/oakfork/lab/scale/generated_state.py
+++ b/oakfork/lab/scale/generated_state.py
@@ -12,7 +12,7 @@
 from oakfork.control import records
 from oakfork.control.database import Database
 from oakfork.control.messages import Kind, Position, Row
-from oakfork.control.state import Records, as_changes, summed, whole
+from oakfork.control.state import Records, as_changes, total_digest, updated_sums
 
 NAMES = {Kind.SERVICE: "services", Kind.SERVER: "servers", Kind.ROUTE: "routes", Kind.TENANT: "tenants"}
 ZONES = 16  # 41,000 servers in them are 2,562 a zone
@@ -109,7 +109,7 @@
         )
     elif kind is Kind.SERVER:
         record = records.Server(
-            records.packed_address(item["addr"]),
+            records.pack_address(item["addr"]),
             item["zone"],
             item["kind"],
             item["cell"],
@@ -143,8 +143,8 @@
     """The state as a gateway has it."""
     made = Records()
     changes = as_changes(base(sizes))
-    made.commit(changes, summed(made, changes))
-    made.fold()
+    made.commit(changes, updated_sums(made, changes))
+    made.compact()
     return made
 
 
@@ -156,10 +156,10 @@
         for number, start in enumerate(range(0, len(rows), AT_ONCE), 1):
             part = rows[start : start + AT_ONCE]
             changes = as_changes(part)
-            made.commit(changes, summed(made, changes))
-            made.fold()
-            database.commit(Position(term, number), f"base-{number}", part, whole(made.sums))
-        while database.fold():
+            made.commit(changes, updated_sums(made, changes))
+            made.compact()
+            database.commit(Position(term, number), f"base-{number}", part, total_digest(made.sums))
+        while database.compact():
             pass
         return Position(term, number)
     finally:
--- a/oakfork/lab/scale/hollow_gateways.py
+++ b/oakfork/lab/scale/hollow_gateways.py
@@ -22,12 +22,12 @@
 import structlog
 import trio
 
-from oakfork.control.connections import Link
+from oakfork.control.connections import FrameConnection
 from oakfork.control.engine import Engine
 from oakfork.control.events import InForce, Key
 from oakfork.control.follower import Follower
 from oakfork.control.messages import EMPTY, RANGES, Kind, Position
-from oakfork.control.state import Records, Store, range_of, record_digest, whole
+from oakfork.control.state import Records, Store, range_of, record_digest, total_digest
 from oakfork.lab.scale import generated_state
 
 TOLD_EVERY, MARKED_EVERY = 0.2, 1.0  # seconds
@@ -111,23 +111,23 @@
                 self.values.put(key, position, value)
         self.sums, self.position = sums, position
 
-    def fold(self, most: int | None = None) -> bool:
+    def compact(self, most: int | None = None) -> bool:
         return False
 
 
 class Counted:
     """A stream, and the bytes that go through it."""
 
-    def __init__(self, stream: trio.SocketStream, tally: Counter[str]) -> None:
-        self.stream, self.tally, self.socket = stream, tally, stream.socket
+    def __init__(self, stream: trio.SocketStream, metrics: Counter[str]) -> None:
+        self.stream, self.metrics, self.socket = stream, metrics, stream.socket
 
     async def receive_some(self, most: int) -> bytes:
         data = await self.stream.receive_some(most)
-        self.tally["in"] += len(data)
+        self.metrics["in"] += len(data)
         return data
 
     async def send_all(self, data: bytes) -> None:
-        self.tally["out"] += len(data)
+        self.metrics["out"] += len(data)
         await self.stream.send_all(data)
 
     async def aclose(self) -> None:
@@ -135,10 +135,10 @@
 
 
 class CountedEngine(Engine):
-    tally: Counter[str]
+    metrics: Counter[str]
 
-    async def _serve(self, link: Link, number: int, unpack: Callable[[bytes], Any]) -> None:
-        link.stream = Counted(link.stream, self.tally)
+    async def _serve(self, link: FrameConnection, number: int, unpack: Callable[[bytes], Any]) -> None:
+        link.stream = Counted(link.stream, self.metrics)
         await super()._serve(link, number, unpack)
 
 
@@ -154,7 +154,7 @@
     """All followers of one process."""
 
     def __init__(self, config: Config) -> None:
-        self.config, self.tally = config, Counter()
+        self.config, self.metrics = config, Counter()
         self.engines: list[CountedEngine] = []
         self.reached: list[list[int]] = []  # follower, term, number, ms, digest; emptied by telling
         self.half = 0  # times that the pair was seen unequal
@@ -174,7 +174,7 @@
             if isinstance(store, HollowStore):
                 store.follower = machine
             engine = CountedEngine(machine, log, in_force=self._in_force(number, machine))
-            engine.tally = self.tally
+            engine.metrics = self.metrics
             self.engines.append(engine)
 
     def _store(self, one: One, filled: Records) -> Store:
@@ -230,7 +230,7 @@
 
     async def _mark(self) -> None:
         while True:
-            tell({"mark": now_ms(), "processor_s": time.process_time(), **self.tally})
+            tell({"mark": now_ms(), "processor_s": time.process_time(), **self.metrics})
             await trio.sleep(MARKED_EVERY)
 
     async def _look(self, store: Records) -> None:
@@ -249,8 +249,8 @@
     """The digest of the records themselves, where there are such."""
     if not isinstance(store, Records):
         return None
-    store.fold()
-    return whole(
+    store.compact()
+    return total_digest(
         array(
             "Q",
             [
--- a/oakfork/lab/scale/lease_costs.py
+++ b/oakfork/lab/scale/lease_costs.py
@@ -6,7 +6,7 @@
 
 from oakfork.interface import SECOND
 from oakfork.lab.datagram_relay import HEADERS
-from oakfork.lab.lease_model import LENGTHS, Fleet
+from oakfork.lab.lease_model import LENGTHS, LeaseFleetModel
 from oakfork.lab.scale.slopes import Measure
 
 GROUP = "leases"
@@ -18,7 +18,7 @@
 def measure(told: Callable[[str], None], small: bool = False) -> tuple[list[Measure], dict[str, Any]]:
     """The holder lives; the same on any machine."""
     sizes, seeds, seconds = ((4, 5, 6, 7), SEEDS[:1], 20) if small else (GATEWAYS, SEEDS, SECONDS)
-    found = [(size, [Fleet(size, VOTERS, LOSS, seed).run(seconds, 0) for seed in seeds]) for size in sizes]
+    found = [(size, [LeaseFleetModel(size, VOTERS, LOSS, seed).run(seconds, 0) for seed in seeds]) for size in sizes]
     held = {"voters": VOTERS, "frames_lost": LOSS, "lease_s": LENGTHS.lease / SECOND}
     measures = [
         Measure(
--- a/oakfork/lab/scale/peer_frames.py
+++ b/oakfork/lab/scale/peer_frames.py
@@ -15,7 +15,7 @@
 from oakfork.decision import DecisionModule
 from oakfork.interface import SECOND, ServerState, Status
 from oakfork.lab.datagram_relay import HEADERS
-from oakfork.lab.event_loop import Kind, Loop
+from oakfork.lab.event_loop import EventKind, EventLoop
 from oakfork.lab.scale.server_lists import ZONES
 from oakfork.lab.scale.slopes import Measure
 from oakfork.settings import read_settings
@@ -96,7 +96,7 @@
 
     def __init__(self, gateways: int, seed: int = 1, scripted: bool = False) -> None:
         self.gateways, self.seed, self.scripted = gateways, seed, scripted
-        self.loop = Loop()
+        self.loop = EventLoop()
         self.modules: dict[int, DecisionModule] = {}
         self.numbers = [0] * gateways  # frames sent by scripted peers
         self.sent, self.received = Traffic(), Traffic()
@@ -123,11 +123,11 @@
         for command in module.handle(self.loop.now, event):
             match command:
                 case interface.SetTimer(token, after):
-                    self.loop.after(after, Kind.TIMER, self._timer, index, module, token)
+                    self.loop.after(after, EventKind.TIMER, self._timer, index, module, token)
                 case interface.SendPeerFrame(peer, data):
                     self._tell(index, peer, data)
                 case interface.SendCallOut(rpc, server):
-                    self.loop.after(LATENCY, Kind.ENDING, self._ended, index, rpc, server)
+                    self.loop.after(LATENCY, EventKind.ENDING, self._ended, index, rpc, server)
                 case interface.PushBack() | interface.Abort():
                     self.not_sent_on += 1
 
@@ -143,7 +143,7 @@
         if sender == 0:
             self.sent.add(data)
         if to in self.modules or self.scripted:
-            self.loop.after(DELAY, Kind.NEWS, self._arrive, sender, to, data)
+            self.loop.after(DELAY, EventKind.NEWS, self._arrive, sender, to, data)
 
     def _arrive(self, sender: int, to: int, data: bytes) -> None:
         if to == 0:
@@ -154,7 +154,7 @@
         frame = wire.unpack(data)
         answers = [wire.Answer(item.serial, 0) for item in frame.items if isinstance(item, wire.Ask)]
         if answers or not (frame.to_life or frame.items):
-            self.loop.after(1, Kind.TIMER, self._write, to, sender, frame.life, answers)
+            self.loop.after(1, EventKind.TIMER, self._write, to, sender, frame.life, answers)
 
     def _write(self, peer: int, to: int, to_life: int, items: Sequence[wire.Item]) -> None:
         """A frame of a scripted peer, which knew an earlier life of the other."""
@@ -208,8 +208,8 @@
     own = [one for one in ids if not owner(network.arrival(one))[0]]
     for number in range(rate * seconds):
         at, came = (begun + dice.randrange(seconds * SECOND) for _ in range(2))
-        network.loop.at(at, Kind.CLIENT, network.ask, dice.choice(others))
-        network.loop.at(came, Kind.CLIENT, network.serve, dice.randrange(1, gateways), number, dice.choice(own))
+        network.loop.at(at, EventKind.CLIENT, network.ask, dice.choice(others))
+        network.loop.at(came, EventKind.CLIENT, network.serve, dice.randrange(1, gateways), number, dice.choice(own))
     network.run(seconds + 1)  # the last answers too
     return network
 
--- a/oakfork/lab/scale/process_costs.py
+++ b/oakfork/lab/scale/process_costs.py
@@ -14,7 +14,7 @@
 from typing import Any, Callable, Iterator, NamedTuple
 
 from oakfork.errors import DrillProcessError
-from oakfork.lab.port_allocator import free_places, text
+from oakfork.lab.port_allocator import free_addresses, text
 from oakfork.lab.scale.peer_frames import MAIL_PER_S, settings
 from oakfork.lab.scale.server_lists import rows
 from oakfork.lab.scale.slopes import Measure
@@ -45,7 +45,7 @@
 
 def configuration(servers: int, gateways: int) -> dict[str, Any]:
     """What the first gateway of a tier is told; nobody listens at any address but its own."""
-    listen, datagrams = (text(free_places(1, kind)[0]) for kind in (SOCK_STREAM, SOCK_DGRAM))
+    listen, datagrams = (text(free_addresses(1, kind)[0]) for kind in (SOCK_STREAM, SOCK_DGRAM))
     known = [row | {"addr": f"127.0.0.1:{FIRST_PORT + number}"} for number, row in enumerate(rows(servers, 1))]
     others = [f"127.1.{number // 256}.{number % 256}:9" for number in range(1, gateways)]
     return {
--- a/oakfork/lab/scale/traced_gateway.py
+++ b/oakfork/lab/scale/traced_gateway.py
@@ -133,29 +133,29 @@
         """What is wrapped, and how."""
         from oakfork.decision.quotas import Quotas
         from oakfork.decision.rpcs import DecisionModule
-        from oakfork.sockets.client_connections import Client
-        from oakfork.sockets.decision_loop import Keeper
+        from oakfork.sockets.client_connections import ClientConnection
+        from oakfork.sockets.decision_loop import DecisionLoop
         from oakfork.sockets.exchange import Exchange
-        from oakfork.sockets.http_connection import Link
-        from oakfork.sockets.peers import Peers
-        from oakfork.sockets.server_connections import Servers
+        from oakfork.sockets.http_connection import HttpConnection
+        from oakfork.sockets.peers import PeerSocket
+        from oakfork.sockets.server_connections import ServerConnections
 
         return [
-            Wrapped(Link, "fill", self._fill),
-            Wrapped(Client, "_take", self._client_take),
-            Wrapped(Keeper, "_take", self._keeper_take),
+            Wrapped(HttpConnection, "fill", self._fill),
+            Wrapped(ClientConnection, "_take", self._client_take),
+            Wrapped(DecisionLoop, "_take", self._loop_take),
             Wrapped(Quotas, "admit", self._waits(ADMISSION, PACE)),
-            Wrapped(Peers, "tell", self._tell),
+            Wrapped(PeerSocket, "tell", self._tell),
             Wrapped(Quotas, "received", self._received),
             Wrapped(DecisionModule, "_look", self._waits(DECISION, LOOK)),
-            Wrapped(Keeper, "_send", self._send),
-            Wrapped(Keeper, "_call_out", self._call_out),
-            Wrapped(Servers, "_new", self._new),
-            Wrapped(Servers, "call", self._call),
-            Wrapped(Link, "write", self._write),
-            Wrapped(Keeper, "_finish", self._finish),
+            Wrapped(DecisionLoop, "_send", self._send),
+            Wrapped(DecisionLoop, "_call_out", self._call_out),
+            Wrapped(ServerConnections, "_new", self._new),
+            Wrapped(ServerConnections, "call", self._call),
+            Wrapped(HttpConnection, "write", self._write),
+            Wrapped(DecisionLoop, "_finish", self._finish),
             Wrapped(Exchange, "answer", self._answer),
-            Wrapped(Link, "_push", self._push),
+            Wrapped(HttpConnection, "_push", self._push),
         ]
 
     def install(self) -> None:
@@ -192,12 +192,12 @@
 
         return take
 
-    def _keeper_take(self, original: Callable) -> Callable:
-        def take(keeper: Any, told: Any) -> None:
-            self.index_table = keeper.index_table
+    def _loop_take(self, original: Callable) -> Callable:
+        def take(decision_loop: Any, told: Any) -> None:
+            self.index_table = decision_loop.index_table
             if record := getattr(getattr(told, "exchange", None), "record", None):  # Came, Left, CallOutOver
                 record.to(DECISION)
-            original(keeper, told)
+            original(decision_loop, told)
 
         return take
 
@@ -263,20 +263,20 @@
     def _send(self, original: Callable) -> Callable:
         """Start: from the command to send until the first byte is about to be written, but for a new connection."""
 
-        def send(keeper: Any, command: Any) -> None:
-            rpc_entry = keeper.index_table.rpc_entries[command.rpc]
+        def send(decision_loop: Any, command: Any) -> None:
+            rpc_entry = decision_loop.index_table.rpc_entries[command.rpc]
             out = rpc_entry.open_call_outs
-            original(keeper, command)
+            original(decision_loop, command)
             if rpc_entry.open_call_outs > out and (record := getattr(rpc_entry.external_id, "record", None)):
                 record.to(START)
 
         return send
 
     def _call_out(self, original: Callable) -> Callable:
-        async def call_out(keeper: Any, exchange: Any, *args: Any) -> None:
+        async def call_out(decision_loop: Any, exchange: Any, *args: Any) -> None:
             if record := getattr(exchange, "record", None):
                 self.leg.set(Leg(record))  # of this task alone
-            await original(keeper, exchange, *args)
+            await original(decision_loop, exchange, *args)
 
         return call_out
 
@@ -323,10 +323,10 @@
         return call
 
     def _finish(self, original: Callable) -> Callable:
-        def finish(keeper: Any, rpc: int, answer: Any) -> None:
+        def finish(decision_loop: Any, rpc: int, answer: Any) -> None:
             if record := self.of(rpc):
                 record.to(WAY_BACK)
-            original(keeper, rpc, answer)
+            original(decision_loop, rpc, answer)
 
         return finish
 
--- a/oakfork/lab/server_model.py
+++ b/oakfork/lab/server_model.py
@@ -5,8 +5,8 @@
 from typing import Callable
 
 from oakfork.interface import Status
-from oakfork.lab.event_loop import Kind, Loop
-from oakfork.lab.world_config import ServerPlan
+from oakfork.lab.event_loop import EventKind, EventLoop
+from oakfork.lab.world_config import ServerConfig
 
 
 @dataclass(slots=True)
@@ -27,8 +27,8 @@
     zone: int
     cell: int
     since: int  # 0: long ago
-    plan: ServerPlan
-    loop: Loop
+    plan: ServerConfig
+    loop: EventLoop
     up: bool = True
     silent: bool = False  # takes work and answers nothing
     cut: bool = False  # its machine can't be reached; connections stay open
@@ -67,7 +67,7 @@
         job.began()
         took = max(1, round(job.work * self.slow / self.warmth(self.loop.now)))
         self.busy += took
-        self.loop.after(took, Kind.SERVER, self._end, job)
+        self.loop.after(took, EventKind.SERVER, self._end, job)
 
     def _end(self, job: Job) -> None:
         if not self.up:
--- a/oakfork/lab/world.py
+++ b/oakfork/lab/world.py
@@ -6,20 +6,20 @@
 
 from oakfork import interface
 from oakfork.interface import SECOND, Status
-from oakfork.lab.customers import Crowd
-from oakfork.lab.environment import CallOut, Decide, Exchange
-from oakfork.lab.event_loop import Kind, Loop
-from oakfork.lab.gateway_model import EVERYONE, Gateway
-from oakfork.lab.invariant_checker import Checker
-from oakfork.lab.run_metrics import Tally
+from oakfork.lab.customers import CustomerPopulation
+from oakfork.lab.environment import CallOut, Exchange, PolicyFactory
+from oakfork.lab.event_loop import EventKind, EventLoop
+from oakfork.lab.gateway_model import EVERYONE, GatewayModel
+from oakfork.lab.invariant_checker import InvariantChecker
+from oakfork.lab.run_metrics import RunMetrics
 from oakfork.lab.server_model import Job, Server
-from oakfork.lab.world_config import Fault, WorldPlan
+from oakfork.lab.world_config import Fault, WorldConfig
 
 STREAMS = ("clients", "work", "links", "faults", "discovery", "births")  # chance of one does not shift another's
 PROBE_WORK = 3  # tenths of a millisecond of a core that a probe costs a server
 
 
-class Counter:
+class CounterModel:
     """Adds to numbers by name; a call takes its time there and back."""
 
     def __init__(self, world: "World") -> None:
@@ -27,15 +27,17 @@
         self.totals: dict[int, float] = {}  # as many as names; those not kept any more are dropped
         self.kept: dict[int, int] = {}
 
-    def call(self, gateway: Gateway, call: interface.AddToCounter) -> None:
+    def call(self, gateway: GatewayModel, call: interface.AddToCounter) -> None:
         plan, loop = self.world.plan.counter, self.world.loop
-        self.world.tally.add("counter calls", loop.now)
+        self.world.metrics.add("counter calls", loop.now)
         if self.up:
-            loop.after(plan.takes // 2, Kind.SERVER, self._add, gateway, call, gateway.life)
+            loop.after(plan.takes // 2, EventKind.SERVER, self._add, gateway, call, gateway.life)
         else:
-            loop.after(plan.patience, Kind.ENDING, self._answer, gateway, call, Status.TIMED_OUT, 0.0, gateway.life)
+            loop.after(
+                plan.patience, EventKind.ENDING, self._answer, gateway, call, Status.TIMED_OUT, 0.0, gateway.life
+            )
 
-    def _add(self, gateway: Gateway, call: interface.AddToCounter, life: int) -> None:
+    def _add(self, gateway: GatewayModel, call: interface.AddToCounter, life: int) -> None:
         now = self.world.loop.now
         if self.kept.get(call.name, 0) <= now:
             for name in [name for name, until in self.kept.items() if until <= now]:
@@ -43,19 +45,23 @@
             self.kept[call.name], self.totals[call.name] = now + call.ttl, 0.0
         self.totals[call.name] += call.amount
         wait = self.world.plan.counter.takes - self.world.plan.counter.takes // 2
-        self.world.loop.after(wait, Kind.ENDING, self._answer, gateway, call, Status.OK, self.totals[call.name], life)
+        self.world.loop.after(
+            wait, EventKind.ENDING, self._answer, gateway, call, Status.OK, self.totals[call.name], life
+        )
 
-    def _answer(self, gateway: Gateway, call: interface.AddToCounter, status: Status, total: float, life: int) -> None:
+    def _answer(
+        self, gateway: GatewayModel, call: interface.AddToCounter, status: Status, total: float, life: int
+    ) -> None:
         if gateway.up and gateway.life == life:
             gateway.handle(interface.CounterReplied(status, total, call.name))
 
 
 class World:
-    def __init__(self, plan: WorldPlan, decide: Decide, seed: int, loop: Loop | None = None) -> None:
+    def __init__(self, plan: WorldConfig, decide: PolicyFactory, seed: int, loop: EventLoop | None = None) -> None:
         """`decide` and `loop` are replaceable parts: a policy for each gateway, and what plays the events."""
-        self.plan, self.decide, self.loop = plan, decide, loop or Loop()
+        self.plan, self.decide, self.loop = plan, decide, loop or EventLoop()
         self.loop.now = SECOND  # 0 stands for long ago
-        self.checker, self.tally = Checker(plan), Tally(plan.seconds + 1, SECOND)
+        self.checker, self.metrics = InvariantChecker(plan), RunMetrics(plan.seconds + 1, SECOND)
         children = numpy.random.SeedSequence(seed).spawn(len(STREAMS))
         self.dices = {name: numpy.random.default_rng(child) for name, child in zip(STREAMS, children, strict=True)}
         self.surge = 1.0
@@ -68,10 +74,10 @@
         for _ in range(plan.servers.count):
             self._server(0)
         self.press = self._press()
-        self.counter = Counter(self)
-        self.crowd = Crowd(self)
+        self.counter = CounterModel(self)
+        self.crowd = CustomerPopulation(self)
         self.by_customer = {customer.number: customer for customer in self.crowd.customers}
-        self.gateways = [Gateway(self, number, number % plan.zones) for number in range(plan.gateways)]
+        self.gateways = [GatewayModel(self, number, number % plan.zones) for number in range(plan.gateways)]
 
     def chance(self, stream: str) -> numpy.random.Generator:
         return self.dices[stream]
@@ -143,7 +149,7 @@
         for gateway in self.gateways:
             gateway.start()
         for fault in self.plan.faults:
-            self.loop.at(start + fault.at, Kind.FAULT, self._begin, fault)
+            self.loop.at(start + fault.at, EventKind.FAULT, self._begin, fault)
         self.crowd.start()
         end = start + self.plan.seconds * SECOND
         self.loop.run(end)
@@ -153,8 +159,8 @@
         self.loop.run(end + 2 * longest + SECOND)
         self.checker.close(self.loop.now)
         for server in self.servers.values():
-            self.tally.server_work[server.number] += server.busy
-        return self.tally.result() | {
+            self.metrics.server_work[server.number] += server.busy
+        return self.metrics.result() | {
             "broken": dict(sorted(self.checker.broken.items())),
             "lines": self.checker.lines,
             "events": played,
@@ -169,25 +175,25 @@
     def reachable(self, one: int, other: int) -> bool:
         return one == other or not (one in self.cut or other in self.cut)
 
-    def frame(self, sender: Gateway, peer: int, data: bytes) -> None:
+    def frame(self, sender: GatewayModel, peer: int, data: bytes) -> None:
         dice, links = self.chance("links"), self.plan.links
         targets = range(self.plan.gateways) if peer == EVERYONE else (peer,)
         for number in targets:
             if number == sender.number or number >= len(self.gateways):
                 continue
-            self.tally.add("frames", self.loop.now)
-            self.tally.add("frame bytes", self.loop.now, len(data))
+            self.metrics.add("frames", self.loop.now)
+            self.metrics.add("frame bytes", self.loop.now, len(data))
             receiver = self.gateways[number]
             lost = dice.random() < self.loss
             if lost or self.deaf or not self.reachable(sender.zone, receiver.zone) or not receiver.up:
                 continue
             wait = links.peer // 2 + round(dice.exponential(links.peer / 2))
             wait += links.zone if sender.zone != receiver.zone else 0
-            self.loop.after(max(1, wait), Kind.NEWS, receiver.frame, sender.number, data, receiver.life)
+            self.loop.after(max(1, wait), EventKind.NEWS, receiver.frame, sender.number, data, receiver.life)
 
     # Call-outs at servers
 
-    def reach(self, gateway: Gateway, exchange: Exchange, call_out: CallOut, fresh: bool, life: int) -> None:
+    def reach(self, gateway: GatewayModel, exchange: Exchange, call_out: CallOut, fresh: bool, life: int) -> None:
         """A call-out's last byte comes to its server, or does not."""
         loop, server = self.loop, call_out.server
         if life != gateway.life or call_out.over:
@@ -195,7 +201,7 @@
         back = self.distance(gateway.zone, server.zone)
 
         def ends(status: Status, wait: int) -> None:
-            loop.after(wait, Kind.ENDING, gateway.ended, exchange, call_out, status, life)
+            loop.after(wait, EventKind.ENDING, gateway.ended, exchange, call_out, status, life)
 
         if server.cut or not self.reachable(gateway.zone, server.zone):
             if fresh:
@@ -241,9 +247,9 @@
             call_out.job = None
             ends(Status.FULL, back)
 
-    def probe(self, gateway: Gateway, index: int) -> None:
+    def probe(self, gateway: GatewayModel, index: int) -> None:
         now, loop = self.loop.now, self.loop
-        self.tally.add("probes", now)
+        self.metrics.add("probes", now)
         server = gateway.list[gateway.index_table.server_ids[index]]
         number, life = server.number, gateway.life
         fresh = gateway.connection(server)
@@ -267,7 +273,7 @@
                 known = gateway.index_table.servers[number]
                 gateway.handle(interface.ProbeEnded(known, status, loop.now - now, ()))
 
-        loop.after(max(1, took), Kind.ENDING, told)
+        loop.after(max(1, took), EventKind.ENDING, told)
 
     # Discovery
 
@@ -276,7 +282,7 @@
         dice = self.chance("discovery")
         for gateway in self.gateways:
             wait = round(self.late * (0.5 + dice.random()))
-            self.loop.after(max(1, wait), Kind.NEWS, gateway.told, changed, False, gateway.life)
+            self.loop.after(max(1, wait), EventKind.NEWS, gateway.told, changed, False, gateway.life)
 
     # Faults. Each one's end undoes what its beginning did.
 
@@ -288,7 +294,7 @@
     def _begin(self, fault: Fault) -> None:
         undo = getattr(self, "_fault_" + fault.kind)(fault)
         if undo is not None:
-            self.loop.after(max(1, fault.until - fault.at), Kind.FAULT, undo)
+            self.loop.after(max(1, fault.until - fault.at), EventKind.FAULT, undo)
 
     def _live(self) -> list[Server]:
         return [server for server in self.servers.values() if server.up and not server.draining]
@@ -312,14 +318,14 @@
         self.chance("faults").shuffle(order)
         for part in range(10):
             struck = order[part::10]
-            self.loop.after(1 + part * step, Kind.FAULT, self._restart, struck, max(1, step // 2))
+            self.loop.after(1 + part * step, EventKind.FAULT, self._restart, struck, max(1, step // 2))
 
-    def _restart(self, struck: list[Gateway], down: int) -> None:
+    def _restart(self, struck: list[GatewayModel], down: int) -> None:
         for gateway in struck:
             if gateway.up:
                 gateway.kill()
                 self.down_since[gateway.number] = self.loop.now
-                self.loop.after(down, Kind.FAULT, gateway.start)
+                self.loop.after(down, EventKind.FAULT, gateway.start)
 
     def _stop(self, server: Server) -> None:
         server.up = False
@@ -330,7 +336,7 @@
                     if call_out.server is server and call_out.reached:
                         self.loop.after(
                             self.plan.links.server,
-                            Kind.ENDING,
+                            EventKind.ENDING,
                             gateway.ended,
                             exchange,
                             call_out,
@@ -347,7 +353,7 @@
         def undo() -> None:
             for old in struck:
                 fresh = Server(old.number, old.zone, old.cell, self.loop.now, old.plan, self.loop)
-                self.tally.server_work[old.number] += old.busy
+                self.metrics.server_work[old.number] += old.busy
                 self.servers[old.number] = fresh
                 self.tell([fresh])
 
@@ -358,13 +364,13 @@
         struck = self._some(self._live(), fault.share)
         step = max(1, (fault.until - fault.at) // 4)
         for part in range(4):
-            self.loop.after(1 + part * step, Kind.FAULT, self._replace, struck[part::4])
+            self.loop.after(1 + part * step, EventKind.FAULT, self._replace, struck[part::4])
 
     def _replace(self, struck: list[Server]) -> None:
         fresh = [self._server(self.loop.now) for _ in struck]
         for server in struck:
             server.draining = True
-            self.loop.after(3 * SECOND, Kind.FAULT, self._stop, server)
+            self.loop.after(3 * SECOND, EventKind.FAULT, self._stop, server)
         self.tell([*struck, *fresh])
 
     def _toggle(self, fault: Fault, **changes: Any) -> Callable[[], None]:
--- a/oakfork/lab/world_config.py
+++ b/oakfork/lab/world_config.py
@@ -6,7 +6,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class MethodPlan:
+class MethodConfig:
     name: str
     share: float
     work: float  # mean, of one core
@@ -21,7 +21,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PlanOfCustomers:
+class PlanConfig:
     name: str
     customers: int
     rate: float  # units a second inside the quota; 0: no quota
@@ -38,7 +38,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ServerPlan:
+class ServerConfig:
     count: int
     cores: int
     waiting: int  # what waits beyond the cores; more is turned away
@@ -51,7 +51,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ClientPlan:
+class ClientConfig:
     retries: int
     wait: int
     heeds_advice: bool  # waits for the retry-after where that is longer
@@ -59,7 +59,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LinkPlan:
+class LinkConfig:
     client: int  # one way
     server: int
     peer: int  # mean; exponential above half of it
@@ -72,13 +72,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class DiscoveryPlan:
+class DiscoveryConfig:
     late: int  # mean; each gateway is told at its own time
     notice: int  # after which clients no longer come to a gateway that is down
 
 
 @dataclass(frozen=True, slots=True)
-class CounterPlan:
+class CounterConfig:
     takes: int  # for a call, one way and back
     patience: int
 
@@ -94,7 +94,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class WorldPlan:
+class WorldConfig:
     seconds: int
     gateways: int
     zones: int
@@ -107,11 +107,11 @@
     max_call_outs: int
     probe_price: float
     connection_price: float
-    methods: tuple[MethodPlan, ...]
-    plans: tuple[PlanOfCustomers, ...]
-    servers: ServerPlan
-    clients: ClientPlan
-    links: LinkPlan
-    discovery: DiscoveryPlan
-    counter: CounterPlan
+    methods: tuple[MethodConfig, ...]
+    plans: tuple[PlanConfig, ...]
+    servers: ServerConfig
+    clients: ClientConfig
+    links: LinkConfig
+    discovery: DiscoveryConfig
+    counter: CounterConfig
     faults: tuple[Fault, ...] = field(default=())
--- a/oakfork/leases/durations.py
+++ b/oakfork/leases/durations.py
@@ -7,7 +7,7 @@
 from typing import NamedTuple
 
 
-class Lengths(NamedTuple):
+class LeaseDurations(NamedTuple):
     lease: int  # what a holder counts, from when it asked
     drift: int  # per mille; 0 to 200
     act: int  # the longest end of one act
--- a/oakfork/leases/fence.py
+++ b/oakfork/leases/fence.py
@@ -8,8 +8,8 @@
 from enum import Enum
 from typing import NamedTuple
 
-from oakfork.leases.durations import Lengths
-from oakfork.leases.messages import Clock, Hello
+from oakfork.leases.durations import LeaseDurations
+from oakfork.leases.messages import ClockReply, ClockRequest
 
 
 class Verdict(Enum):
@@ -24,7 +24,7 @@
     highest: int = 0
 
 
-def judge(fence: Fence, now: int, life: int, term: int, end: int) -> tuple[Fence, Verdict]:
+def check_act(fence: Fence, now: int, life: int, term: int, end: int) -> tuple[Fence, Verdict]:
     """Whether an act has its effect. `end` is on this clock."""
     if life != fence.life:
         return fence, Verdict.STRANGE
@@ -35,11 +35,11 @@
     return fence._replace(highest=term), Verdict.TAKEN
 
 
-def clock(fence: Fence, now: int, hello: Hello) -> Clock:
-    return Clock(hello.task, hello.nonce, fence.life, now)
+def clock_reply(fence: Fence, now: int, hello: ClockRequest) -> ClockReply:
+    return ClockReply(hello.task, hello.nonce, fence.life, now)
 
 
-class View(NamedTuple):
+class ClockView(NamedTuple):
     """What a holder knows of the clock of what it acts upon."""
 
     life: int
@@ -47,6 +47,6 @@
     at: int  # here
 
 
-def end_there(view: View, end: int, lengths: Lengths) -> int:
+def end_on_their_clock(view: ClockView, end: int, durations: LeaseDurations) -> int:
     """An end on the other's clock that comes no later than `end` does here, whatever the rates."""
-    return view.clock + lengths.shrunk(end - view.at) if end > view.at else 0
+    return view.clock + durations.shrunk(end - view.at) if end > view.at else 0
--- a/oakfork/leases/messages.py
+++ b/oakfork/leases/messages.py
@@ -54,14 +54,14 @@
     term: Number
 
 
-class Free(Message, tag=5):
+class VoteFreed(Message, tag=5):
     """A hint to the contender that was refused last: the vote is free."""
 
     task: Small
     voter: Small
 
 
-class Hello(Message, tag=6):
+class ClockRequest(Message, tag=6):
     """A holder asks what it acts upon for its clock."""
 
     task: Small
@@ -69,14 +69,14 @@
     nonce: Number
 
 
-class Clock(Message, tag=7):
+class ClockReply(Message, tag=7):
     task: Small
     nonce: Number
     life: Number  # of what is acted upon
     clock: Number  # its clock when it answered
 
 
-class Act(Message, tag=8):
+class ActRequest(Message, tag=8):
     """An act upon what has a guard: it has its effect before its end on the guard's clock, or never."""
 
     task: Small
@@ -88,7 +88,7 @@
     number: Number
 
 
-class Acted(Message, tag=9):
+class ActReply(Message, tag=9):
     task: Small
     number: Number
     verdict: Small
--- a/oakfork/leases/voter.py
+++ b/oakfork/leases/voter.py
@@ -7,8 +7,8 @@
 
 from typing import NamedTuple
 
-from oakfork.leases.durations import Lengths
-from oakfork.leases.messages import Ask, Free, Grant, Refusal, Release
+from oakfork.leases.durations import LeaseDurations
+from oakfork.leases.messages import Ask, Grant, Refusal, Release, VoteFreed
 
 NOBODY = -1
 
@@ -23,12 +23,12 @@
     waiting: int = NOBODY  # who was refused last, for a hint
 
 
-def started(now: int, lengths: Lengths, floor: int) -> Vote:
+def initial_vote(now: int, durations: LeaseDurations, floor: int) -> Vote:
     """A voter that knows nothing. `floor` is a number that is likely above all terms so far (docs/leases.md)."""
-    return Vote(now + lengths.stretched(lengths.longest), floor)
+    return Vote(now + durations.stretched(durations.longest), floor)
 
 
-def asked(vote: Vote, now: int, ask: Ask, lengths: Lengths, me: int) -> tuple[Vote, Grant | Refusal]:
+def on_ask(vote: Vote, now: int, ask: Ask, durations: LeaseDurations, me: int) -> tuple[Vote, Grant | Refusal]:
     """The answer to a contender, which goes to it alone."""
     same = (ask.gateway, ask.life) == (vote.gateway, vote.life) and ask.term >= vote.term
     wait = 0
@@ -37,8 +37,8 @@
     elif not same and vote.gateway != NOBODY and now < vote.until:
         wait = vote.until - now
         vote = vote._replace(waiting=ask.gateway)
-    elif ask.length <= lengths.longest and (same or ask.term > vote.highest):
-        until = now + lengths.stretched(ask.length)
+    elif ask.length <= durations.longest and (same or ask.term > vote.highest):
+        until = now + durations.stretched(ask.length)
         vote = vote._replace(
             gateway=ask.gateway,
             life=ask.life,
@@ -51,9 +51,9 @@
     return vote, Refusal(ask.task, me, ask.life, ask.round, vote.highest, wait)
 
 
-def released(vote: Vote, now: int, release: Release, me: int) -> tuple[Vote, tuple[int, Free] | None]:
+def on_release(vote: Vote, now: int, release: Release, me: int) -> tuple[Vote, tuple[int, VoteFreed] | None]:
     """Frees the vote if it is that contender's in that term; a hint for who was refused last, if anybody was."""
     if (release.gateway, release.life, release.term) != (vote.gateway, vote.life, vote.term) or now < vote.abstains:
         return vote, None
-    hint = (vote.waiting, Free(release.task, me)) if vote.waiting not in (NOBODY, release.gateway) else None
+    hint = (vote.waiting, VoteFreed(release.task, me)) if vote.waiting not in (NOBODY, release.gateway) else None
     return vote._replace(gateway=NOBODY, until=0, waiting=NOBODY), hint
--- a/oakfork/serving.py
+++ b/oakfork/serving.py
@@ -25,7 +25,7 @@
 
 def serve() -> None:
     try:
-        here = configuration.read(os.environ)
+        here = configuration.read_configuration(os.environ)
     except ConfigurationError as error:
         sys.exit("\n".join(f"oakfork: {line}" for line in error_lines(error, faults=_faults()).splitlines()))
     # What is loaded stays: no collection need look at it again. The rest is collected a tenth as often as by default:
--- a/oakfork/sockets/client_connections.py
+++ b/oakfork/sockets/client_connections.py
@@ -11,11 +11,11 @@
 from structlog.stdlib import BoundLogger
 
 from oakfork.errors import BadRequestError, ConnectionFailedError
-from oakfork.sockets.configuration import Surroundings
+from oakfork.sockets.configuration import GatewayConfiguration
 from oakfork.sockets.exchange import Answer, Exchange
-from oakfork.sockets.http_connection import LARGEST_BODY, Link, Message
-from oakfork.sockets.messages import Came, Left, Told, tell
-from oakfork.sockets.outcomes import Ending
+from oakfork.sockets.http_connection import LARGEST_BODY, HttpConnection, HttpMessage
+from oakfork.sockets.messages import ClientLeft, LoopEvent, RpcReceived, enqueue
+from oakfork.sockets.outcomes import Outcome
 
 BACKLOG = 512
 SPARED = 0.25  # seconds that a connection stays open after its start or last answer, if there is room or not
@@ -24,29 +24,29 @@
 LINGERING = 1.0  # seconds that a half-closed connection is still read, so that no reset overtakes its last answer
 LULL = 0.01  # seconds between reads of what is thrown away: 6 MB/s of it at most from one client
 METHODS = frozenset((b"GET", b"POST", b"PUT", b"PATCH", b"DELETE"))  # whose answers have plain bodies
-PLAIN_STATUS = {Ending.MALFORMED: 400, Ending.OVERSIZED: 413, Ending.SILENT: 408}
+PLAIN_STATUS = {Outcome.MALFORMED: 400, Outcome.OVERSIZED: 413, Outcome.SILENT: 408}
 
 
-class Clients:
+class ClientConnections:
     """All connections of clients, `most` at a time, those that linger at their close among them; others wait to be
     accepted. Over three quarters of that lingering and idle ones make room, and at the bound an answer is its
     connection's last."""
 
     def __init__(
         self,
-        here: Surroundings,
+        here: GatewayConfiguration,
         sock: socket.socket,
         most: int,
-        queue: trio.MemorySendChannel[Told],
+        queue: trio.MemorySendChannel[LoopEvent],
         nursery: trio.Nursery,
         log: BoundLogger,
     ) -> None:
         self.here, self.most, self.queue, self.nursery, self.log = here, most, queue, nursery, log
         self.many = most * 3 // 4
         self.leaving = self.full = self.shut = False  # shut: no connection is taken any more
-        self.open: set[Client] = set()
-        self.idle: dict[Client, float] = {}  # of those, with nothing begun: since when, the longest first
-        self.lingering: dict[Client, None] = {}  # of those, half-closed by us, the first one first
+        self.open: set[ClientConnection] = set()
+        self.idle: dict[ClientConnection, float] = {}  # of those, with nothing begun: since when, the longest first
+        self.lingering: dict[ClientConnection, None] = {}  # of those, half-closed by us, the first one first
         self.ids: dict[bytes, Exchange] = {}  # the RPCs that are not answered yet
         self.empty = trio.Event()  # set once it is shut and all connections are closed
         self.accepting = trio.CancelScope()
@@ -83,7 +83,7 @@
 
     def _take_in(self, sock: socket.socket) -> None:
         try:
-            client = Client(self, sock)
+            client = ClientConnection(self, sock)
         except OSError:  # gone already
             sock.close()
             return
@@ -134,7 +134,7 @@
         self.leaving = True
         self._close_idle(SPARED, self.most)
 
-    def left(self, client: "Client | None") -> None:
+    def left(self, client: "ClientConnection | None") -> None:
         self.open.discard(client)
         self.idle.pop(client, None)
         self.lingering.pop(client, None)
@@ -145,14 +145,14 @@
             self.empty.set()
 
 
-class Client:
+class ClientConnection:
     """One connection. Its task only receives; an answer is written at once by the task that has it."""
 
-    def __init__(self, all_clients: Clients, sock: socket.socket) -> None:
+    def __init__(self, all_clients: ClientConnections, sock: socket.socket) -> None:
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self.all = all_clients
-        self.link = Link(sock, h11.SERVER)
+        self.link = HttpConnection(sock, h11.SERVER)
         self.scope = trio.CancelScope()  # cancelled when the connection is to be closed, or is to linger no more
         self.fresh = True  # nothing whole has come on it
         self.exchange: Exchange | None = None  # not answered yet
@@ -178,7 +178,7 @@
                 self.exchange.waiting.remove(self._answer)
                 if not self.exchange.waiting:
                     del self.all.ids[self.exchange.id]
-                    tell(self.all.queue, Left(self.exchange))
+                    enqueue(self.all.queue, ClientLeft(self.exchange))
                 self.exchange = None
             try:
                 if not gone:
@@ -208,12 +208,12 @@
         """A request was begun and did not come whole in time. Unless its last bytes came in this very instant it gets
         408. Whether there is more to receive."""
         self.scope = trio.CancelScope()
-        if self.link.fill_at_once():
+        if self.link.receive_available():
             self._go_on()
         if self.scope.cancel_called:
             return False
         if self.link.buffered and not self._busy():
-            self._write(Answer(PLAIN_STATUS[Ending.SILENT], last=True))
+            self._write(Answer(PLAIN_STATUS[Outcome.SILENT], last=True))
             return False
         return True
 
@@ -224,7 +224,7 @@
         if self.behind:  # an answer is still being written, within a time of its own
             self.caught_up = trio.Event()
             await self.caught_up.wait()
-        self.link.end_sending()
+        self.link.shut_down_sending()
         self.scope = trio.CancelScope(deadline=trio.current_time() + LINGERING)
         self.all.lingering[self] = None
         with self.scope, contextlib.suppress(ConnectionFailedError):
@@ -236,7 +236,7 @@
 
     def leave_if_idle(self) -> bool:
         """Has the connection close unless something has come that is not answered, read or not."""
-        idle = not self._busy() and not self.link.buffered and self.link.lively()
+        idle = not self._busy() and not self.link.buffered and self.link.is_reusable()
         if idle:
             self.scope.cancel()
         return idle
@@ -251,8 +251,8 @@
                     self.scope.deadline = float("inf")
                 self._take(message)
         except ConnectionFailedError as end:
-            if end.ending in PLAIN_STATUS:
-                self._write(Answer(PLAIN_STATUS[end.ending]))
+            if end.outcome in PLAIN_STATUS:
+                self._write(Answer(PLAIN_STATUS[end.outcome]))
             self.scope.cancel()
             return
         if self.link.buffered and not self._busy():
@@ -262,7 +262,7 @@
             if self.link.http.they_are_waiting_for_100_continue:
                 self.link.put(h11.InformationalResponse(status_code=100, headers=[]))
 
-    def _take(self, message: Message) -> None:
+    def _take(self, message: HttpMessage) -> None:
         path = message.head.target.partition(b"?")[0]
         if message.head.method not in METHODS:
             self._write(Answer(405))
@@ -279,7 +279,7 @@
                 return
             self.exchange = self.all.ids.setdefault(exchange.id, exchange)
             if self.exchange is exchange:
-                tell(self.all.queue, Came(exchange))
+                enqueue(self.all.queue, RpcReceived(exchange))
             elif self.exchange.same(exchange):
                 # Guards against a close that crossed the request: the client sends it anew while it is still held
                 # here. It runs once, and its answer goes to each connection that still waits.
--- a/oakfork/sockets/configuration.py
+++ b/oakfork/sockets/configuration.py
@@ -13,7 +13,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Names:
+class NameIndices:
     """The indices of what the settings list by name."""
 
     methods: Mapping[bytes, int]
@@ -22,7 +22,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Surroundings:
+class GatewayConfiguration:
     """Where a gateway stands, what it may hold and whom it talks to. Times are seconds."""
 
     name: str
@@ -40,28 +40,28 @@
     longest_deadline: float
     tick: int  # tenths of a millisecond: the module's timers need not be finer
     known: Mapping[str, Any]
-    names: Names
+    names: NameIndices
     settings: GatewaySettings
 
 
-def address(text: str) -> Address:
+def parse_address(text: str) -> Address:
     host, _, port = text.rpartition(":")
     if not host or not port.isdecimal() or int(port) > 65535:
         raise ConfigurationError(f"not an address: {text!r}")
     return host, int(port)
 
 
-def read(environment: Mapping[str, str]) -> Surroundings:
+def read_configuration(environment: Mapping[str, str]) -> GatewayConfiguration:
     """Reads LB_CONFIG; LB_NAME, LB_LISTEN and LB_DISCOVERY go before what stands in it."""
     variables = {"name": "LB_NAME", "listen": "LB_LISTEN", "discovery": "LB_DISCOVERY"}
     given = {key: environment[variable] for key, variable in variables.items() if environment.get(variable)}
     return _read(environment, lambda told: _surroundings(told | given))
 
 
-def reread(environment: Mapping[str, str]) -> tuple[Address, Address | None]:
+def reread_addresses(environment: Mapping[str, str]) -> tuple[Address, Address | None]:
     """What a running gateway turns to: the addresses of discovery and the counter, as LB_CONFIG names them now. The
     variables were for the start."""
-    return _read(environment, lambda told: (address(told["discovery"]), _place(told, "counter")))
+    return _read(environment, lambda told: (parse_address(told["discovery"]), _place(told, "counter")))
 
 
 def _read(environment: Mapping[str, str], use: Callable[[dict[str, Any]], Read]) -> Read:
@@ -76,10 +76,10 @@
 
 
 def _place(told: dict[str, Any], key: str) -> Address | None:
-    return address(told[key]) if told.get(key) else None
+    return parse_address(told[key]) if told.get(key) else None
 
 
-def _surroundings(told: dict[str, Any]) -> Surroundings:
+def _surroundings(told: dict[str, Any]) -> GatewayConfiguration:
     info = told["settings"]
     limits, specifics, known = info.get("limits", {}), info.get("specifics", {}), told.get("known", {})
     if not isinstance(known, dict):
@@ -92,13 +92,13 @@
     def encoded(numbers: dict[str, int]) -> dict[bytes, int]:
         return {name.encode(): number for name, number in numbers.items()}
 
-    return Surroundings(
+    return GatewayConfiguration(
         name=str(told.get("name", "")),
-        listen=address(told["listen"]),
-        discovery=address(told["discovery"]),
+        listen=parse_address(told["listen"]),
+        discovery=parse_address(told["discovery"]),
         counter=_place(told, "counter") if specifics.get("shared-counter") else None,
         peer_listen=_place(told, "peer_listen") if settings.peers else None,
-        peers=tuple(address(text) for text in told.get("peers", ())),
+        peers=tuple(parse_address(text) for text in told.get("peers", ())),
         peers_all=_place(told, "peers_all"),
         sockets=int(told.get("limits", {}).get("sockets", 1024)),
         memory=int(told.get("limits", {}).get("memory_mb", 64) * 1024 * 1024),
@@ -108,7 +108,7 @@
         longest_deadline=max((method.deadline for method in settings.methods), default=0) / 10_000,
         tick=tenths(info.get("tick-ms", 1.0)),
         known=known,
-        names=Names(
+        names=NameIndices(
             encoded(numbered(info.get("classes", ()), "name")),
             encoded(numbered(info.get("tiers-of-service", ()), "name")),
             numbered(info.get("zones", ())),
--- a/oakfork/sockets/counter_client.py
+++ b/oakfork/sockets/counter_client.py
@@ -7,18 +7,18 @@
 
 from oakfork import interface
 from oakfork.errors import ConnectionFailedError
-from oakfork.sockets.configuration import Address, Surroundings
-from oakfork.sockets.http_connection import Link, Message, connect, plain
-from oakfork.sockets.messages import Told, tell
-from oakfork.sockets.outcomes import STATUS, Ending
+from oakfork.sockets.configuration import Address, GatewayConfiguration
+from oakfork.sockets.http_connection import HttpConnection, HttpMessage, connect, request_head
+from oakfork.sockets.messages import LoopEvent, enqueue
+from oakfork.sockets.outcomes import STATUS_OF_OUTCOME, Outcome
 
 MOST_WAITING = 256  # calls not yet written; one more is answered as if there were no connection
 
 
-class Counter:
+class CounterClient:
     """The calls of this gateway. The module's `kept_for` is in tenths of a millisecond."""
 
-    def __init__(self, here: Surroundings, queue: trio.MemorySendChannel[Told]) -> None:
+    def __init__(self, here: GatewayConfiguration, queue: trio.MemorySendChannel[LoopEvent]) -> None:
         self.here, self.queue = here, queue
         self.address = here.counter
         self.turned = False  # the connection leads to where the counter was
@@ -32,52 +32,54 @@
         self.more.set()
         return True
 
-    def turn_to(self, address: Address) -> None:
+    def change_address(self, address: Address) -> None:
         """The call that is out may still be answered by the old one; the next goes to the new one."""
         self.turned = self.turned or address != self.address
         self.address = address
 
     async def run(self) -> None:
-        link: Link | None = None
+        link: HttpConnection | None = None
         while True:
             await self.more.wait()
             self.more = trio.Event()
             while self.calls:
                 call, until = self.calls.popleft()
-                if link is not None and (self.turned or not link.lively()):  # the counter closes idle connections
+                if link is not None and (self.turned or not link.is_reusable()):  # the counter closes idle connections
                     link.close()
                     link = None
                 self.turned = False
                 link = await self._call(link, call, until)
 
-    async def _call(self, link: Link | None, call: interface.AddToCounter, until: float) -> Link | None:
+    async def _call(
+        self, link: HttpConnection | None, call: interface.AddToCounter, until: float
+    ) -> HttpConnection | None:
         """One call; the connection if it can be used again."""
-        ending, total = Ending.NEVER_UP, 0.0
+        outcome, total = Outcome.NEVER_UP, 0.0
         with trio.move_on_at(until):
             try:
                 link = link or await connect(self.address, self.here.count_patience)
-                ending = Ending.SILENT  # from here on it may have been added
+                outcome = Outcome.SILENT  # from here on it may have been added
                 target = f"/counters/{call.name:x}?by={call.amount:.6f}&expire_ms={max(1, call.ttl // 10)}"
-                await link.write(plain("POST", target, self.address))
+                await link.write(request_head("POST", target, self.address))
                 message = await link.read()
-                ending, total = _result(message)
+                outcome, total = _result(message)
                 if not link.renew():
                     link.close()
                     link = None
             except ConnectionFailedError as end:
-                ending = end.ending
-        if link is not None and ending not in (Ending.ANSWERED, Ending.TURNED_AWAY):
+                outcome = end.outcome
+        if link is not None and outcome not in (Outcome.ANSWERED, Outcome.TURNED_AWAY):
             link.close()
             link = None
-        tell(self.queue, interface.CounterReplied(STATUS[ending], total, call.name))
+        enqueue(self.queue, interface.CounterReplied(STATUS_OF_OUTCOME[outcome], total, call.name))
         return link
 
 
-def _result(message: Message) -> tuple[Ending, float]:
+def _result(message: HttpMessage) -> tuple[Outcome, float]:
     if message.head.status_code != 200:
-        return Ending.TURNED_AWAY, 0.0  # 503, 400 and 404 alike: nothing was added
+        return Outcome.TURNED_AWAY, 0.0  # 503, 400 and 404 alike: nothing was added
     try:
         total = float(message.body)
     except ValueError:
         total = math.nan
-    return (Ending.ANSWERED, total) if math.isfinite(total) else (Ending.MALFORMED, 0.0)
+    return (Outcome.ANSWERED, total) if math.isfinite(total) else (Outcome.MALFORMED, 0.0)
