--- a/oakfork/sockets/decision_loop.py
+++ b/oakfork/sockets/decision_loop.py
@@ -13,14 +13,14 @@
 from oakfork.decision import DecisionModule
 from oakfork.errors import ConfigurationError
 from oakfork.index_table import IndexTable
-from oakfork.sockets.configuration import Address, Surroundings, address
-from oakfork.sockets.counter_client import Counter
-from oakfork.sockets.discovery import Discovery, rows
+from oakfork.sockets.configuration import Address, GatewayConfiguration, parse_address
+from oakfork.sockets.counter_client import CounterClient
+from oakfork.sockets.discovery import DiscoveryClient, server_rows
 from oakfork.sockets.exchange import Answer, CallOut, Exchange
-from oakfork.sockets.messages import CallOutOver, Came, Left, Listed, Told, tell
-from oakfork.sockets.outcomes import STATUS, Ending
-from oakfork.sockets.peers import Peers
-from oakfork.sockets.server_connections import Servers
+from oakfork.sockets.messages import CallOutFinished, ClientLeft, LoopEvent, RpcReceived, ServersListed, enqueue
+from oakfork.sockets.outcomes import STATUS_OF_OUTCOME, Outcome
+from oakfork.sockets.peers import PeerSocket
+from oakfork.sockets.server_connections import ServerConnections
 
 if TYPE_CHECKING:
     from oakfork.contracts.runner import Contracts
@@ -33,18 +33,18 @@
 }
 
 
-class Keeper:
+class DecisionLoop:
     """Turns what it is told into events, and the module's commands into work of other tasks."""
 
     def __init__(
         self,
-        here: Surroundings,
-        inbox: trio.MemoryReceiveChannel[Told],
-        queue: trio.MemorySendChannel[Told],
-        servers: Servers,
-        discovery: Discovery,
-        peers: Peers | None,
-        counter: Counter | None,
+        here: GatewayConfiguration,
+        inbox: trio.MemoryReceiveChannel[LoopEvent],
+        queue: trio.MemorySendChannel[LoopEvent],
+        servers: ServerConnections,
+        discovery: DiscoveryClient,
+        peers: PeerSocket | None,
+        counter: CounterClient | None,
         nursery: trio.Nursery,
         log: BoundLogger,
         contracts: "Contracts | None" = None,
@@ -62,7 +62,7 @@
         self.own: deque[interface.Event] = deque()  # events that the commands themselves cause
         self.with_load = here.settings.load_report_mode == "on_probe"
         self.module = DecisionModule(here.settings, self.now())
-        self._handle(interface.ServerList(True, False, self._entries(rows(here.known))))
+        self._handle(interface.ServerList(True, False, self._entries(server_rows(here.known))))
         self._count_ready()
 
     def _real(self) -> int:
@@ -94,7 +94,7 @@
             with self.alarm:
                 await trio.sleep_forever()
             self.alarm = trio.CancelScope()  # the keeper sets it anew
-            tell(self.queue, None)
+            enqueue(self.queue, None)
 
     def _wake(self) -> None:
         """Brings the timers that are due. One due within TOO_SHORT comes now, with the clock set to its time; one that
@@ -107,9 +107,9 @@
             self._handle(interface.TimerFired(token))
         self.alarm.deadline = (self.wakes[0][0] + self.grain) / 10_000 - self.epoch if self.wakes else math.inf
 
-    def _take(self, told: Told) -> None:
+    def _take(self, told: LoopEvent) -> None:
         match told:
-            case Came(exchange):
+            case RpcReceived(exchange):
                 if self.contracts and not self._reserved(exchange):
                     return
                 index = self.index_table.add_rpc(exchange)
@@ -129,26 +129,26 @@
                     ),
                     index,
                 )
-            case Left(exchange):
+            case ClientLeft(exchange):
                 self._ended(exchange)
                 index = self.index_table.rpcs.get(exchange)
                 if index is not None and not self.index_table.rpc_entries[index].answered:
                     self.index_table.rpc_entries[index].answered = True
                     self._handle(interface.ClientDisconnected(index), index)
-            case CallOutOver(exchange, call_out, ending, message):
-                self._call_out_over(exchange, call_out, ending, message)
-            case Listed(complete, failed, servers):
+            case CallOutFinished(exchange, call_out, outcome, message):
+                self._call_out_over(exchange, call_out, outcome, message)
+            case ServersListed(complete, failed, servers):
                 self._handle(interface.ServerList(complete, failed, self._entries(servers)))
                 self._count_ready()
             case _:
                 self._handle(told)
 
-    def _call_out_over(self, exchange: Exchange, call_out: CallOut, ending: Ending, message: Any) -> None:
+    def _call_out_over(self, exchange: Exchange, call_out: CallOut, outcome: Outcome, message: Any) -> None:
         index = self.index_table.rpcs[exchange]
         rpc_entry = self.index_table.rpc_entries[index]
         exchange.call_outs.pop(call_out.number, None)
         rpc_entry.open_call_outs -= 1
-        if ending is Ending.ANSWERED:  # the first answer goes to the client by itself
+        if outcome is Outcome.ANSWERED:  # the first answer goes to the client by itself
             self._finish(index, Answer(200, message.body, message.header(b"content-type")))
         elapsed = int((trio.current_time() - call_out.started) * 10_000)
         self._handle(
@@ -157,7 +157,7 @@
                 call_out.number,
                 call_out.server,
                 elapsed,
-                STATUS[ending],
+                STATUS_OF_OUTCOME[outcome],
                 rpc_entry.answered,
                 0.0,
                 self.servers.load(message),
@@ -209,7 +209,7 @@
             case interface.SubscribeToList(on):
                 self.discovery.subscribe(on)
             case interface.ReadServerList():
-                self.nursery.start_soon(self.discovery.read_once)
+                self.nursery.start_soon(self.discovery.read_list_once)
             case interface.CloseIdleConnections(server):
                 self.servers.close_idle(server)
             case interface.ForgetServer(server):
@@ -217,7 +217,7 @@
                 self.index_table.forget_server(server)
             case interface.AddToCounter():
                 if not self.counter or not self.counter.count(command):
-                    self.own.append(interface.CounterReplied(STATUS[Ending.NO_ROOM], 0.0, command.name))
+                    self.own.append(interface.CounterReplied(STATUS_OF_OUTCOME[Outcome.NO_ROOM], 0.0, command.name))
             case interface.WriteLog(text):
                 self.log.info("note", text=text)
 
@@ -231,7 +231,7 @@
 
     def _reserved(self, exchange: Exchange) -> bool:
         """Whether an RPC, a gather of one leg, may go now; otherwise it has been answered."""
-        exchange.contract, verdict = self.contracts.arrives(exchange.customer)
+        exchange.contract, verdict = self.contracts.admit_rpc(exchange.customer)
         exchange.taken = not verdict.wait
         if verdict.wait:
             exchange.answer(Answer(503, retry_after=max(1.0, math.ceil(verdict.wait / 10_000))))
@@ -239,13 +239,13 @@
 
     def _count_ready(self) -> None:
         if self.contracts:
-            self.contracts.listed(len(self.module.servers.ready))
+            self.contracts.set_ready_servers(len(self.module.servers.ready))
 
     def _ended(self, exchange: Exchange) -> None:
         """Its leg is over; one that was never sent comes back."""
         if self.contracts and exchange.taken:
             exchange.taken = False
-            self.contracts.over(exchange.contract, exchange.sent > 0)
+            self.contracts.rpc_ended(exchange.contract, exchange.sent > 0)
 
     def _send(self, command: interface.SendCallOut) -> None:
         rpc, server, until, write_deadline = command
@@ -258,7 +258,7 @@
         )
         exchange.sent += 1
         if rpc_entry.answered or end <= trio.current_time():
-            status = STATUS[Ending.TOO_LATE]
+            status = STATUS_OF_OUTCOME[Outcome.TOO_LATE]
             self.own.append(
                 interface.CallOutEnded(rpc, call_out.number, server, 0, status, rpc_entry.answered, 0.0, ())
             )
@@ -268,12 +268,12 @@
         self.nursery.start_soon(self._call_out, exchange, call_out)
 
     async def _call_out(self, exchange: Exchange, call_out: CallOut) -> None:
-        ending, message = Ending.GIVEN_UP, None
+        outcome, message = Outcome.GIVEN_UP, None
         with call_out.scope:
             if call_out.scope.deadline <= trio.current_time():
-                ending = Ending.TOO_LATE
+                outcome = Outcome.TOO_LATE
             else:
-                ending, message = await self.servers.call(
+                outcome, message = await self.servers.call(
                     call_out.server,
                     self.starts[call_out.server][0],
                     lambda: exchange.passed_on(call_out.scope.deadline - trio.current_time()),
@@ -282,16 +282,19 @@
                 )
         if call_out.scope.cancelled_caught:
             if call_out.begun:
-                ending = Ending.GIVEN_UP if call_out.withdrawn else Ending.SILENT
+                outcome = Outcome.GIVEN_UP if call_out.withdrawn else Outcome.SILENT
             else:
-                ending = Ending.TOO_LATE if call_out.withdrawn else Ending.NEVER_UP
-        tell(self.queue, CallOutOver(exchange, call_out, ending, message))
+                outcome = Outcome.TOO_LATE if call_out.withdrawn else Outcome.NEVER_UP
+        enqueue(self.queue, CallOutFinished(exchange, call_out, outcome, message))
 
     async def _probe(self, server: int) -> None:
         started = trio.current_time()
-        ending, message = await self.servers.probe(server, self.starts[server][0], self.with_load)
+        outcome, message = await self.servers.probe(server, self.starts[server][0], self.with_load)
         elapsed = int((trio.current_time() - started) * 10_000)
-        tell(self.queue, interface.ProbeEnded(server, STATUS[ending], elapsed, self.servers.load(message, probe=True)))
+        enqueue(
+            self.queue,
+            interface.ProbeEnded(server, STATUS_OF_OUTCOME[outcome], elapsed, self.servers.load(message, probe=True)),
+        )
 
     def _entries(self, listed: Sequence[Mapping[str, Any]]) -> tuple[interface.ServerEntry, ...]:
         """The entries that make sense; a list with others is used without those."""
@@ -299,7 +302,7 @@
         for row in listed:
             try:
                 state, name = STATES[row["state"]], str(row["id"])
-                place = address(row["addr"]) if row.get("addr") else None
+                place = parse_address(row["addr"]) if row.get("addr") else None
                 zone, cell = self.here.names.zones.get(row.get("zone"), 0), int(row.get("cell", 0))
                 up_since, weight = int(row.get("started_ms", 0) * 10), float(row.get("weight", 1.0))
             except (KeyError, TypeError, ValueError, AttributeError, OverflowError, ConfigurationError):
--- a/oakfork/sockets/discovery.py
+++ b/oakfork/sockets/discovery.py
@@ -8,10 +8,10 @@
 from structlog.stdlib import BoundLogger
 
 from oakfork.errors import ConnectionFailedError
-from oakfork.sockets.configuration import Address, Surroundings
-from oakfork.sockets.http_connection import Link, connect, plain
-from oakfork.sockets.messages import Listed, Told, tell
-from oakfork.sockets.outcomes import Ending
+from oakfork.sockets.configuration import Address, GatewayConfiguration
+from oakfork.sockets.http_connection import HttpConnection, connect, request_head
+from oakfork.sockets.messages import LoopEvent, ServersListed, enqueue
+from oakfork.sockets.outcomes import Outcome
 
 # Six seconds after discovery had a change and could be reached, it counts as told, whatever call failed, was refused or
 # was given up just before. The longest way there: a watch that has gone silent (it looks like one with no news until
@@ -27,8 +27,8 @@
 LONGEST_PAUSE = TOLD - (HOLD + PROMPT) - UP - PROMPT - 0.1
 
 
-class Discovery:
-    def __init__(self, here: Surroundings, queue: trio.MemorySendChannel[Told], log: BoundLogger) -> None:
+class DiscoveryClient:
+    def __init__(self, here: GatewayConfiguration, queue: trio.MemorySendChannel[LoopEvent], log: BoundLogger) -> None:
         self.here, self.queue, self.log = here, queue, log
         self.address = here.discovery
         self.version = here.known.get("version")
@@ -49,13 +49,13 @@
                     await self._watch()
                 except ConnectionFailedError as end:
                     if not self.broken:
-                        self.log.warning("the watch of the server list broke", ending=end.ending.name, todo=end.todo)
+                        self.log.warning("the watch of the server list broke", ending=end.outcome.name, todo=end.todo)
                     self.broken = True
                     if (
-                        self.here.settings.subscribes_to_list and end.ending is Ending.ERROR
+                        self.here.settings.subscribes_to_list and end.outcome is Outcome.ERROR
                     ):  # the module says when to ask again
                         self.asked = trio.Event()
-                        tell(self.queue, Listed(False, True, ()))
+                        enqueue(self.queue, ServersListed(False, True, ()))
                         continue
                     pause, self.pause = self.pause, min(2 * self.pause, LONGEST_PAUSE)
                     await trio.sleep(pause * (1 + self.chance.random()) / 2)
@@ -67,7 +67,7 @@
             self.asked = trio.Event()
             self.watching.cancel()
 
-    def turn_to(self, address: Address) -> None:
+    def change_address(self, address: Address) -> None:
         """Goes over to another agent at once, and asks it for the whole list: what the two count may differ. It is
         asked now, also where the module waits for the time to ask the old one again."""
         if address != self.address:
@@ -75,7 +75,7 @@
             self.watching.cancel()
             self.asked.set()
 
-    async def read_once(self) -> None:
+    async def read_list_once(self) -> None:
         """The whole list, on the module's request."""
         address = self.address
         try:
@@ -85,9 +85,9 @@
             finally:
                 link.close()
         except ConnectionFailedError:
-            tell(self.queue, Listed(False, True, ()))
+            enqueue(self.queue, ServersListed(False, True, ()))
 
-    async def _connect(self, address: Address) -> Link:
+    async def _connect(self, address: Address) -> HttpConnection:
         return await connect(address, min(self.here.connect_patience, UP))
 
     async def _watch(self) -> None:
@@ -105,32 +105,32 @@
         finally:
             link.close()
 
-    async def _ask(self, link: Link, address: Address, target: str, hold: float = 0.0) -> None:
+    async def _ask(self, link: HttpConnection, address: Address, target: str, hold: float = 0.0) -> None:
         """One call to the agent at that address, whose answer goes to the keeper."""
         with trio.move_on_after(hold + PROMPT):
-            await link.write(plain("GET", target, address))
+            await link.write(request_head("GET", target, address))
             message = await link.read()
             if address != self.address:  # that agent is ours no more: its version says nothing of the new one's
-                raise ConnectionFailedError(Ending.GIVEN_UP)
+                raise ConnectionFailedError(Outcome.GIVEN_UP)
             if message.head.status_code != 200:
-                raise ConnectionFailedError(Ending.ERROR)
+                raise ConnectionFailedError(Outcome.ERROR)
             try:
                 told = json.loads(message.body)
                 version, complete, servers = int(told["version"]), bool(told["full"]), list(told["servers"])
             except (ValueError, TypeError, KeyError, OverflowError, RecursionError):
                 self.version = None  # what was missed is not known: the whole list next
-                raise ConnectionFailedError(Ending.MALFORMED) from None
+                raise ConnectionFailedError(Outcome.MALFORMED) from None
             if not hold and self.version is not None and version < self.version:
                 return  # read beside a watch that has been told more since
             # From here to the end nothing waits: a version that counts as read is told, whatever is cancelled.
             self.version, self.broken, self.pause = version, False, PAUSE
             if servers or complete:
-                tell(self.queue, Listed(complete, False, servers))
+                enqueue(self.queue, ServersListed(complete, False, servers))
             return
-        raise ConnectionFailedError(Ending.SILENT)
+        raise ConnectionFailedError(Outcome.SILENT)
 
 
-def rows(known: Mapping[str, Any]) -> list:
+def server_rows(known: Mapping[str, Any]) -> list:
     """The list that a gateway has when it starts."""
     servers = known.get("servers", ())
     return list(servers) if isinstance(servers, list) else []
--- a/oakfork/sockets/exchange.py
+++ b/oakfork/sockets/exchange.py
@@ -9,8 +9,8 @@
 from oakfork.errors import BadRequestError
 from oakfork.interface import GatewaySettings, RepeatSafety
 from oakfork.settings import tenths
-from oakfork.sockets.configuration import Names
-from oakfork.sockets.http_connection import Header, Message, pairs
+from oakfork.sockets.configuration import NameIndices
+from oakfork.sockets.http_connection import Header, HttpMessage, pairs
 
 # These speak of one connection (RFC 9110, 7.6.1), are written anew for the next, or are for the gateway alone.
 NOT_PASSED_ON = frozenset(
@@ -78,7 +78,7 @@
     """An RPC from its head to its answer, with its call-outs."""
 
     def __init__(
-        self, message: Message, names: Names, settings: GatewaySettings, answer: Callable[[Answer], None]
+        self, message: HttpMessage, names: NameIndices, settings: GatewaySettings, answer: Callable[[Answer], None]
     ) -> None:
         self.received = trio.current_time()
         self.message = message
--- a/oakfork/sockets/gateway.py
+++ b/oakfork/sockets/gateway.py
@@ -14,18 +14,18 @@
 
 from oakfork import early_signals
 from oakfork.errors import AddressInUseError, ConfigurationError, FileError, log_fields
-from oakfork.sockets.client_connections import Clients
-from oakfork.sockets.configuration import Surroundings, reread
-from oakfork.sockets.counter_client import Counter
-from oakfork.sockets.decision_loop import Keeper
-from oakfork.sockets.discovery import Discovery
-from oakfork.sockets.http_connection import bound
-from oakfork.sockets.messages import Listed, Told, tell
-from oakfork.sockets.peers import Peers
-from oakfork.sockets.server_connections import Servers
+from oakfork.sockets.client_connections import ClientConnections
+from oakfork.sockets.configuration import GatewayConfiguration, reread_addresses
+from oakfork.sockets.counter_client import CounterClient
+from oakfork.sockets.decision_loop import DecisionLoop
+from oakfork.sockets.discovery import DiscoveryClient
+from oakfork.sockets.http_connection import bind_socket
+from oakfork.sockets.messages import LoopEvent, ServersListed, enqueue
+from oakfork.sockets.peers import PeerSocket
+from oakfork.sockets.server_connections import ServerConnections
 
 if TYPE_CHECKING:
-    from oakfork.fleet.services import Part
+    from oakfork.fleet.services import FleetServices
 
 OTHERS = 24  # descriptors for the other parties and the interpreter: twelve were seen, more where lists are read
 ANSWERS = 64  # an answer may take that part of the memory: a third is the program's, few are so large at once
@@ -51,12 +51,12 @@
     return structlog.get_logger(gateway=name)
 
 
-async def run(here: Surroundings) -> None:
+async def run(here: GatewayConfiguration) -> None:
     log = logger(here.name)
     queue, inbox = trio.open_memory_channel(math.inf)  # see messages.tell
     try:
-        listener = bound(socket.SOCK_STREAM, here.listen)
-        datagrams = bound(socket.SOCK_DGRAM, here.peer_listen) if here.peer_listen else None
+        listener = bind_socket(socket.SOCK_STREAM, here.listen)
+        datagrams = bind_socket(socket.SOCK_DGRAM, here.peer_listen) if here.peer_listen else None
         fleet = _fleet(here, log, queue)
     except AddressInUseError as error:
         log.error("an address of its own can't be had", **log_fields(error))
@@ -69,21 +69,21 @@
             # Two fifths of the descriptors for the servers, OTHERS for the rest, what is left for the clients.
             to_servers = here.sockets * 2 // 5
             largest = here.memory // ANSWERS
-            servers = Servers(
+            servers = ServerConnections(
                 to_servers, largest, here.connect_patience, here.idle_patience, here.settings.load_report_names
             )
-            clients = Clients(here, listener, max(1, here.sockets - to_servers - OTHERS), queue, nursery, log)
-            discovery = Discovery(here, queue, log)
-            peers = Peers(here, datagrams, queue) if datagrams else None
-            counter = Counter(here, queue) if here.counter else None
-            keeper = Keeper(
+            clients = ClientConnections(here, listener, max(1, here.sockets - to_servers - OTHERS), queue, nursery, log)
+            discovery = DiscoveryClient(here, queue, log)
+            peers = PeerSocket(here, datagrams, queue) if datagrams else None
+            counter = CounterClient(here, queue) if here.counter else None
+            decision_loop = DecisionLoop(
                 here, inbox, queue, servers, discovery, peers, counter, nursery, log, fleet.contracts if fleet else None
             )
             told_by_fleet = fleet is not None and fleet.agent is not None  # of the servers, in discovery's place
-            for part in (keeper, clients, servers, None if told_by_fleet else discovery, peers, counter):
+            for part in (decision_loop, clients, servers, None if told_by_fleet else discovery, peers, counter):
                 if part is not None:
                     nursery.start_soon(part.run)
-            nursery.start_soon(keeper.tick)
+            nursery.start_soon(decision_loop.tick)
             if fleet:
                 nursery.start_soon(fleet.run)
             nursery.start_soon(clients.sweep)
@@ -103,23 +103,25 @@
     log.info("left")
 
 
-def _fleet(here: Surroundings, log: BoundLogger, queue: trio.MemorySendChannel[Told]) -> "Part | None":
+def _fleet(
+    here: GatewayConfiguration, log: BoundLogger, queue: trio.MemorySendChannel[LoopEvent]
+) -> "FleetServices | None":
     """What is done with the other gateways beside the module, where LB_FLEET names a file: nothing of it is imported
     otherwise, and `run` of the platform names none."""
     path = os.environ.get("LB_FLEET")
     if not path:
         return None
-    from oakfork.fleet.services import Part
+    from oakfork.fleet.services import FleetServices
 
-    return Part(path, here, log, lambda servers: tell(queue, Listed(False, False, servers)))
+    return FleetServices(path, here, log, lambda servers: enqueue(queue, ServersListed(False, False, servers)))
 
 
 async def _heed(
     signals: AsyncIterator[int],
     to_leave: trio.Event,
-    discovery: Discovery,
-    counter: Counter | None,
-    fleet: "Part | None",
+    discovery: DiscoveryClient,
+    counter: CounterClient | None,
+    fleet: "FleetServices | None",
     log: BoundLogger,
 ) -> None:
     """Takes signals until the end of the process, while it leaves too: one that nobody takes would end it."""
@@ -135,19 +137,19 @@
                 fleet.reread()
 
 
-async def _turn(discovery: Discovery, counter: Counter | None, log: BoundLogger) -> None:
+async def _turn(discovery: DiscoveryClient, counter: CounterClient | None, log: BoundLogger) -> None:
     """Goes over to what the configuration names now. One that is not usable is read again for three seconds, and then
     changes nothing: the gateway serves on."""
     for reading in range(READINGS):
         try:
-            to_discovery, to_counter = reread(os.environ)
+            to_discovery, to_counter = reread_addresses(os.environ)
             break
         except ConfigurationError as error:
             if reading == READINGS - 1:
                 log.error("the new configuration is not usable, the old one holds", **log_fields(error))
                 return
             await trio.sleep(BETWEEN)
-    discovery.turn_to(to_discovery)
+    discovery.change_address(to_discovery)
     if counter is not None and to_counter is not None:
-        counter.turn_to(to_counter)
+        counter.change_address(to_counter)
     log.info("configuration read anew", discovery="%s:%d" % to_discovery)
--- a/oakfork/sockets/http_connection.py
+++ b/oakfork/sockets/http_connection.py
@@ -9,7 +9,7 @@
 import trio
 
 from oakfork.errors import AddressInUseError, ConnectionFailedError
-from oakfork.sockets.outcomes import Ending
+from oakfork.sockets.outcomes import Outcome
 
 LARGEST_BODY = 64 * 1024  # PROTOCOL: a body holds 64 KiB at most; servers have been seen to say more
 LARGEST_HEAD = 16 * 1024
@@ -19,7 +19,7 @@
 Header = tuple[bytes, bytes]
 
 
-class Message(NamedTuple):
+class HttpMessage(NamedTuple):
     head: h11.Request | h11.Response
     body: bytes
 
@@ -28,7 +28,7 @@
         return next((value for key, value in self.head.headers if key == name), None)
 
 
-def plain(method: str, target: str, address: tuple[str, int]) -> h11.Request:
+def request_head(method: str, target: str, address: tuple[str, int]) -> h11.Request:
     """A request of the gateway's own, with no body."""
     headers = [("Host", "%s:%d" % address)]
     if method != "GET":
@@ -53,12 +53,12 @@
         elif name == b"transfer-encoding":
             chunks = value
     if chunks is not None and (length is not None or head.http_version < b"1.1"):
-        raise ConnectionFailedError(Ending.MALFORMED)
+        raise ConnectionFailedError(Outcome.MALFORMED)
     if length is not None and length > largest:
-        raise ConnectionFailedError(Ending.OVERSIZED)
+        raise ConnectionFailedError(Outcome.OVERSIZED)
 
 
-class Link:
+class HttpConnection:
     """A connection and what h11 knows of it. The socket doesn't block: a task waits only where there is nothing to
     read or no room to write, which spares the checkpoint after each call that trio's own sockets have."""
 
@@ -82,12 +82,12 @@
             except BlockingIOError:
                 continue
             except OSError:
-                raise ConnectionFailedError(Ending.BROKEN) from None
+                raise ConnectionFailedError(Outcome.BROKEN) from None
             self.buffered += len(data)
             self.http.receive_data(data)
             return bool(data)
 
-    def fill_at_once(self) -> bool:
+    def receive_available(self) -> bool:
         """Receives what is there without waiting; whether there was something."""
         try:
             data = self.sock.recv(READ)
@@ -106,24 +106,24 @@
         except BlockingIOError:
             return True
         except OSError:
-            raise ConnectionFailedError(Ending.BROKEN) from None
+            raise ConnectionFailedError(Outcome.BROKEN) from None
         if data:
             await trio.sleep(pause)
         return bool(data)
 
-    def end_sending(self) -> None:
+    def shut_down_sending(self) -> None:
         """Half-closes: the other side sees the end behind all that was written."""
         with contextlib.suppress(OSError):  # it is gone already
             self.sock.shutdown(socket.SHUT_WR)
 
-    def parse(self) -> Message | None:
+    def parse(self) -> HttpMessage | None:
         """The next whole message; None where more must be received."""
         while True:
             try:
                 event = self.http.next_event()
             except h11.RemoteProtocolError:
                 ended = self.http.trailing_data[1]
-                raise ConnectionFailedError(Ending.ENDED if ended else Ending.MALFORMED) from None
+                raise ConnectionFailedError(Outcome.ENDED if ended else Outcome.MALFORMED) from None
             if event is h11.NEED_DATA:
                 return None
             if isinstance(event, (h11.Request, h11.Response)):
@@ -132,19 +132,19 @@
             elif isinstance(event, h11.Data):
                 self.size += len(event.data)
                 if self.size > self.largest:
-                    raise ConnectionFailedError(Ending.OVERSIZED)
+                    raise ConnectionFailedError(Outcome.OVERSIZED)
                 self.body.append(bytes(event.data))
             elif isinstance(event, h11.EndOfMessage):
-                message = Message(self.head, b"".join(self.body))
+                message = HttpMessage(self.head, b"".join(self.body))
                 self.head, self.body, self.size = None, [], 0
                 self.buffered = len(self.http.trailing_data[0])
                 return message
             elif isinstance(event, h11.ConnectionClosed):
-                raise ConnectionFailedError(Ending.ENDED)
+                raise ConnectionFailedError(Outcome.ENDED)
             elif event is h11.PAUSED:
-                raise ConnectionFailedError(Ending.MALFORMED)
+                raise ConnectionFailedError(Outcome.MALFORMED)
 
-    async def read(self, patience: float = float("inf")) -> Message:
+    async def read(self, patience: float = float("inf")) -> HttpMessage:
         """The next whole message. Guards against answers that stop half-way: one that has begun may pause for so long
         and no longer."""
         while (message := self.parse()) is None:
@@ -154,7 +154,7 @@
             with trio.move_on_after(patience) as scope:
                 await self.fill()
             if scope.cancelled_caught:
-                raise ConnectionFailedError(Ending.STALLED)
+                raise ConnectionFailedError(Outcome.STALLED)
         return message
 
     def put(self, head: h11.Request | h11.Response | h11.InformationalResponse, body: bytes = b"") -> list[memoryview]:
@@ -166,13 +166,13 @@
                     chunks += self.http.send_with_data_passthrough(h11.Data(data=body))
                 chunks += self.http.send_with_data_passthrough(h11.EndOfMessage())
         except h11.LocalProtocolError:  # not to be said on this connection, as it stands
-            raise ConnectionFailedError(Ending.UNSENT) from None
+            raise ConnectionFailedError(Outcome.UNSENT) from None
         return self._push([memoryview(chunk) for chunk in chunks if chunk])
 
     async def drain(self, left: list[memoryview]) -> None:
         while left:
             if self.sock.fileno() < 0:  # closed before this task had its turn
-                raise ConnectionFailedError(Ending.UNSENT)
+                raise ConnectionFailedError(Outcome.UNSENT)
             await trio.lowlevel.wait_writable(self.sock)
             left = self._push(left)
 
@@ -187,7 +187,7 @@
         except BlockingIOError:
             return left
         except OSError:
-            raise ConnectionFailedError(Ending.UNSENT) from None
+            raise ConnectionFailedError(Outcome.UNSENT) from None
         while left and sent >= len(left[0]):
             sent -= len(left.pop(0))
         if sent:
@@ -204,7 +204,7 @@
         self.http.start_next_cycle()
         return True
 
-    def lively(self) -> bool:
+    def is_reusable(self) -> bool:
         """Whether the idle connection looks open and nothing unasked has come on it."""
         try:
             self.sock.recv(1, socket.MSG_PEEK)
@@ -218,7 +218,7 @@
         self.sock.close()
 
 
-def bound(kind: socket.SocketKind, address: tuple[str, int]) -> socket.socket:
+def bind_socket(kind: socket.SocketKind, address: tuple[str, int]) -> socket.socket:
     """A socket of ours at an address; raises AddressInUseError."""
     sock = socket.socket(socket.AF_INET, kind)
     sock.setblocking(False)
@@ -232,12 +232,12 @@
     return sock
 
 
-async def connect(address: tuple[str, int], patience: float, largest: int = LARGEST_BODY) -> Link:
+async def connect(address: tuple[str, int], patience: float, largest: int = LARGEST_BODY) -> HttpConnection:
     """A new connection to an HTTP server."""
     try:
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     except OSError:
-        raise ConnectionFailedError(Ending.NO_ROOM) from None
+        raise ConnectionFailedError(Outcome.NO_ROOM) from None
     try:
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -246,14 +246,14 @@
             with trio.CancelScope(deadline=trio.current_time() + patience) as scope:
                 await trio.lowlevel.wait_writable(sock)
             if scope.cancelled_caught:
-                raise ConnectionFailedError(Ending.NEVER_UP)
+                raise ConnectionFailedError(Outcome.NEVER_UP)
             code = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
         if code:
-            raise ConnectionFailedError(Ending.REFUSED)
+            raise ConnectionFailedError(Outcome.REFUSED)
     except OSError:
         sock.close()
-        raise ConnectionFailedError(Ending.REFUSED) from None
+        raise ConnectionFailedError(Outcome.REFUSED) from None
     except BaseException:
         sock.close()
         raise
-    return Link(sock, h11.CLIENT, largest)
+    return HttpConnection(sock, h11.CLIENT, largest)
--- a/oakfork/sockets/messages.py
+++ b/oakfork/sockets/messages.py
@@ -6,42 +6,51 @@
 
 from oakfork import interface
 from oakfork.sockets.exchange import CallOut, Exchange
-from oakfork.sockets.http_connection import Message
-from oakfork.sockets.outcomes import Ending
+from oakfork.sockets.http_connection import HttpMessage
+from oakfork.sockets.outcomes import Outcome
 
 
-class Came(NamedTuple):
+class RpcReceived(NamedTuple):
     exchange: Exchange
 
 
-class Left(NamedTuple):
+class ClientLeft(NamedTuple):
     """The client has gone away."""
 
     exchange: Exchange
 
 
-class CallOutOver(NamedTuple):
+class CallOutFinished(NamedTuple):
     exchange: Exchange
     call_out: CallOut
-    ending: Ending
-    message: Message | None
+    outcome: Outcome
+    message: HttpMessage | None
 
 
-class Listed(NamedTuple):
+class ServersListed(NamedTuple):
     complete: bool
     failed: bool
     servers: Sequence[Mapping[str, Any]]  # as discovery words them
 
 
 # None: a timer of the keeper's is due.
-Told = Came | Left | CallOutOver | Listed | interface.ProbeEnded | interface.PeerFrame | interface.CounterReplied | None
+LoopEvent = (
+    RpcReceived
+    | ClientLeft
+    | CallOutFinished
+    | ServersListed
+    | interface.ProbeEnded
+    | interface.PeerFrame
+    | interface.CounterReplied
+    | None
+)
 
 
 # Datagrams that the keeper has not yet taken; more are lost, as datagrams may be.
-MOST_DATAGRAMS = 1024
+MAX_QUEUED_DATAGRAMS = 1024
 
 
-def tell(queue: trio.MemorySendChannel[Told], told: Told) -> None:
+def enqueue(queue: trio.MemorySendChannel[LoopEvent], told: LoopEvent) -> None:
     """Sends at once, in the order of the calls. Guards against what is told late or out of order: a task that waited
     for room could be overtaken (Left before Came, and an RPC went on for a client that had gone) or cancelled (a list
     whose version counted as read was never told). The queue so takes any number, and its length is bounded by who
@@ -50,6 +59,6 @@
     queue.send_nowait(told)
 
 
-def tell_datagram(queue: trio.MemorySendChannel[Told], told: interface.PeerFrame) -> None:
-    if queue.statistics().current_buffer_used < MOST_DATAGRAMS:
+def enqueue_datagram(queue: trio.MemorySendChannel[LoopEvent], told: interface.PeerFrame) -> None:
+    if queue.statistics().current_buffer_used < MAX_QUEUED_DATAGRAMS:
         queue.send_nowait(told)
--- a/oakfork/sockets/outcomes.py
+++ b/oakfork/sockets/outcomes.py
@@ -5,7 +5,7 @@
 from oakfork.interface import Status
 
 
-class Ending(Enum):
+class Outcome(Enum):
     """How the use of a connection for one exchange ended."""
 
     ANSWERED = auto()  # 200, whole
@@ -25,20 +25,20 @@
     TOO_LATE = auto()  # what was decided did not hold any more before anything was written
 
 
-STATUS = {
-    Ending.ANSWERED: Status.OK,
-    Ending.ERROR: Status.ERROR,
-    Ending.TURNED_AWAY: Status.FULL,
-    Ending.NO_ROOM: Status.CONNECT_FAILED,
-    Ending.REFUSED: Status.CONNECT_FAILED,
-    Ending.NEVER_UP: Status.CONNECT_FAILED,
-    Ending.UNSENT: Status.CONNECT_FAILED,
-    Ending.BROKEN: Status.RESET,
-    Ending.ENDED: Status.RESET,
-    Ending.MALFORMED: Status.RESET,
-    Ending.OVERSIZED: Status.RESET,
-    Ending.STALLED: Status.RESET,
-    Ending.SILENT: Status.TIMED_OUT,
-    Ending.GIVEN_UP: Status.CANCELLED,
-    Ending.TOO_LATE: Status.NEVER_STARTED,
+STATUS_OF_OUTCOME = {
+    Outcome.ANSWERED: Status.OK,
+    Outcome.ERROR: Status.ERROR,
+    Outcome.TURNED_AWAY: Status.FULL,
+    Outcome.NO_ROOM: Status.CONNECT_FAILED,
+    Outcome.REFUSED: Status.CONNECT_FAILED,
+    Outcome.NEVER_UP: Status.CONNECT_FAILED,
+    Outcome.UNSENT: Status.CONNECT_FAILED,
+    Outcome.BROKEN: Status.RESET,
+    Outcome.ENDED: Status.RESET,
+    Outcome.MALFORMED: Status.RESET,
+    Outcome.OVERSIZED: Status.RESET,
+    Outcome.STALLED: Status.RESET,
+    Outcome.SILENT: Status.TIMED_OUT,
+    Outcome.GIVEN_UP: Status.CANCELLED,
+    Outcome.TOO_LATE: Status.NEVER_STARTED,
 }
--- a/oakfork/sockets/peers.py
+++ b/oakfork/sockets/peers.py
@@ -6,14 +6,16 @@
 
 from oakfork import interface
 from oakfork.peer_codec import LARGEST
-from oakfork.sockets.configuration import Surroundings
-from oakfork.sockets.messages import Told, tell_datagram
+from oakfork.sockets.configuration import GatewayConfiguration
+from oakfork.sockets.messages import LoopEvent, enqueue_datagram
 
 EVERYONE = 0xFFFF  # the module's number for all gateways of the tier
 
 
-class Peers:
-    def __init__(self, here: Surroundings, sock: socket.socket, queue: trio.MemorySendChannel[Told]) -> None:
+class PeerSocket:
+    def __init__(
+        self, here: GatewayConfiguration, sock: socket.socket, queue: trio.MemorySendChannel[LoopEvent]
+    ) -> None:
         self.here, self.queue = here, queue
         self.numbers = {address: number for number, address in enumerate(here.peers)}
         self.sock = sock
@@ -27,7 +29,7 @@
             except OSError:  # nothing after all, or an earlier datagram of ours found nobody there
                 continue
             if sender in self.numbers:
-                tell_datagram(self.queue, interface.PeerFrame(self.numbers[sender], data))
+                enqueue_datagram(self.queue, interface.PeerFrame(self.numbers[sender], data))
 
     def tell(self, peer: int, data: bytes) -> None:
         """Sends at once or not at all."""
--- a/oakfork/sockets/server_connections.py
+++ b/oakfork/sockets/server_connections.py
@@ -9,8 +9,8 @@
 from oakfork.errors import ConnectionFailedError
 from oakfork.sockets.configuration import Address
 from oakfork.sockets.exchange import CallOut
-from oakfork.sockets.http_connection import Link, Message, connect, pairs, plain
-from oakfork.sockets.outcomes import Ending
+from oakfork.sockets.http_connection import HttpConnection, HttpMessage, connect, pairs, request_head
+from oakfork.sockets.outcomes import Outcome
 
 # Seconds that a connection rests after an answer before it is used again: a second answer may come some milliseconds
 # late, and would be taken for the next one's.
@@ -44,7 +44,7 @@
             row[:] = row[0] * 0.9, row[1] * 0.9
 
 
-class Servers:
+class ServerConnections:
     """Idle connections by server, the last used first, and the number of all connections."""
 
     def __init__(
@@ -58,7 +58,7 @@
         self.ages = Ages()
         self.eras: dict[int, int] = {}  # by the server's index: how often what runs there changed; no larger than
         # the keeper's table of servers
-        self.idle: dict[int, list[tuple[float, Link]]] = {}  # by the server's index; emptied by run
+        self.idle: dict[int, list[tuple[float, HttpConnection]]] = {}  # by the server's index; emptied by run
 
     async def call(
         self,
@@ -67,11 +67,11 @@
         head: Callable[[], h11.Request],
         body: bytes = b"",
         call_out: CallOut | None = None,
-    ) -> tuple[Ending, Message | None]:
+    ) -> tuple[Outcome, HttpMessage | None]:
         """One exchange with a server. Sends it once and never again; the connection is kept if it stays usable. A
         call-out begins only while what was decided holds, and is written whole in its time or never. `head` makes the
         request's head for its first byte."""
-        link, age, ending, era = None, None, Ending.GIVEN_UP, self.eras.get(server, 0)
+        link, age, outcome, era = None, None, Outcome.GIVEN_UP, self.eras.get(server, 0)
         try:
             with trio.CancelScope(deadline=call_out.write_deadline if call_out else math.inf) as scope:
                 link, age = self._kept(server)
@@ -80,51 +80,51 @@
                 request = _made(head)
                 # Guards against connections that come up late: they may lead to what runs there no more.
                 if era != self.eras.get(server, 0) or call_out and not call_out.begin():
-                    raise ConnectionFailedError(Ending.TOO_LATE)
+                    raise ConnectionFailedError(Outcome.TOO_LATE)
                 await link.write(request, body)
             if scope.cancelled_caught:
-                raise ConnectionFailedError(Ending.UNSENT if link else Ending.NEVER_UP)
+                raise ConnectionFailedError(Outcome.UNSENT if link else Outcome.NEVER_UP)
             message = await link.read(self.connect_patience)
             # Guards against keeping a connection, in use when what runs there changed, under an index that stands for
             # something else by now.
             if link.renew() and era == self.eras.get(server, 0):
                 self.idle.setdefault(server, []).append((trio.current_time(), link))
                 link = None
-            ending = _ending(message)
-            return ending, message
+            outcome = _ending(message)
+            return outcome, message
         except ConnectionFailedError as end:
-            ending = end.ending
-            return ending, None
+            outcome = end.outcome
+            return outcome, None
         finally:
-            if age is not None and ending is not Ending.GIVEN_UP:
-                self.ages.note(age, ending in (Ending.UNSENT, Ending.BROKEN, Ending.ENDED))
+            if age is not None and outcome is not Outcome.GIVEN_UP:
+                self.ages.note(age, outcome in (Outcome.UNSENT, Outcome.BROKEN, Outcome.ENDED))
             if link is not None:
                 self._drop(link)
 
-    async def probe(self, server: int, address: Address, with_load: bool) -> tuple[Ending, Message | None]:
+    async def probe(self, server: int, address: Address, with_load: bool) -> tuple[Outcome, HttpMessage | None]:
         """A look at a server; it waits as long as for a connection."""
-        request = plain("GET", "/-/load" if with_load else "/-/healthy", address)
+        request = request_head("GET", "/-/load" if with_load else "/-/healthy", address)
         with trio.CancelScope(deadline=trio.current_time() + self.connect_patience):
             return await self.call(server, address, lambda: request)
-        return Ending.SILENT, None
+        return Outcome.SILENT, None
 
-    def _kept(self, server: int) -> tuple[Link | None, float | None]:
+    def _kept(self, server: int) -> tuple[HttpConnection | None, float | None]:
         """A connection, and how long it has been idle: the last used of those that have rested."""
         kept, now, found = self.idle.get(server, []), trio.current_time(), (None, None)
         resting = [pair for pair in kept if now - pair[0] < REST]
         del kept[len(kept) - len(resting) :]
         while kept and found[0] is None:
             since, link = kept.pop()
-            if now - since < self.usable and self.ages.fit(now - since) and link.lively():
+            if now - since < self.usable and self.ages.fit(now - since) and link.is_reusable():
                 found = link, now - since
             else:
                 self._drop(link)
         kept += resting
         return found
 
-    async def _new(self, address: Address) -> Link:
+    async def _new(self, address: Address) -> HttpConnection:
         if self.open >= self.most and not self._drop_oldest():
-            raise ConnectionFailedError(Ending.NO_ROOM)
+            raise ConnectionFailedError(Outcome.NO_ROOM)
         self.open += 1
         try:
             return await connect(address, self.connect_patience, self.largest)
@@ -132,7 +132,7 @@
             self.open -= 1
             raise
 
-    def _drop(self, link: Link) -> None:
+    def _drop(self, link: HttpConnection) -> None:
         self.open -= 1
         link.close()
 
@@ -160,7 +160,7 @@
                 if not kept:
                     del self.idle[server]
 
-    def load(self, message: Message | None, probe: bool = False) -> tuple[float, ...]:
+    def load(self, message: HttpMessage | None, probe: bool = False) -> tuple[float, ...]:
         """The load report, in the settings' order; empty if there is none. A probe may have it as its body."""
         if message is None or not self.names:
             return ()
@@ -180,13 +180,13 @@
     try:
         return head()
     except h11.LocalProtocolError:  # not to be said to any server: none is to blame
-        raise ConnectionFailedError(Ending.TOO_LATE) from None
+        raise ConnectionFailedError(Outcome.TOO_LATE) from None
 
 
-def _ending(message: Message) -> Ending:
+def _ending(message: HttpMessage) -> Outcome:
     status = message.head.status_code
     if status == 200:
-        return Ending.ANSWERED
+        return Outcome.ANSWERED
     if status in (503, 504) and message.header(b"x-turned-away") == b"1":
-        return Ending.TURNED_AWAY
-    return Ending.ERROR
+        return Outcome.TURNED_AWAY
+    return Outcome.ERROR
--- a/tests/control_fleets.py
+++ b/tests/control_fleets.py
@@ -1,7 +1,7 @@
 """Fleets of control_network.py that several files of tests use."""
 
 import msgspec
-from control_network import World, put
+from control_network import ControlNetwork, put
 
 from oakfork.control.follower import Follower
 from oakfork.control.messages import Kind
@@ -13,7 +13,7 @@
 
 def fleet(seed=1, regions=2, each=3, follower=Follower, relay=Relay, publisher=Publisher, **more):
     """A publisher in region 0, two relays a region, some followers at each pair."""
-    world = World(seed)
+    world = ControlNetwork(seed)
     world.publisher(kind=publisher, **more)
     for region in range(regions):
         others = [f"r{(region + 1) % regions}a"] if regions > 1 else []
@@ -44,9 +44,9 @@
 def short_histories(world, rows):
     """For all who serve, as long as they live."""
     for node in world.nodes.values():
-        if hasattr(node.machine, "feeder"):
-            node.machine.feeder.history.most_rows = rows
-            node.machine.feeder.history.trim()
+        if hasattr(node.machine, "follower_server"):
+            node.machine.follower_server.history.most_rows = rows
+            node.machine.follower_server.history.trim()
 
 
 def status(world, name="p"):
@@ -59,6 +59,6 @@
     class Made(base):
         def __init__(self, *args, **more):
             super().__init__(*args, **more)
-            self.feeder.__class__ = kind
+            self.follower_server.__class__ = kind
 
     return Made
--- a/tests/control_network.py
+++ b/tests/control_network.py
@@ -12,7 +12,7 @@
 from types import SimpleNamespace
 
 import msgspec
-from control_verifier import Witness, Wrong, filled
+from control_verifier import VerificationError, Verifier, filled
 
 from oakfork.control import events, messages
 from oakfork.control.events import Connected, Heard, Lost, NotStored, Step, Stored, TimeCame, Unkept
@@ -20,7 +20,7 @@
 from oakfork.control.messages import Kind, Position, Row, Submit, Verdict, pack, unpack_down, unpack_up
 from oakfork.control.publisher import Publisher
 from oakfork.control.relay import Relay
-from oakfork.control.state import Records, as_changes, summed, whole
+from oakfork.control.state import Records, as_changes, total_digest, updated_sums
 
 PULLED = (messages.Delta, messages.Digests, messages.Range)
 ANSWERS = (messages.Ack, messages.Want)
@@ -233,15 +233,15 @@
             self.world.bytes[to.name] += len(frame)
             self.unanswered += 1
             if self.unanswered > 1:
-                raise Wrong(f"{to.name} has {self.unanswered} frames to answer")
+                raise VerificationError(f"{to.name} has {self.unanswered} frames to answer")
         to.tell(Heard(number, message))
 
 
-class World:
+class ControlNetwork:
     def __init__(self, seed=1):
         self.chance, self.now, self.order, self.serial = random.Random(seed), 0, itertools.count(), itertools.count(1)
         self.todo, self.nodes, self.cuts = [], {}, set()
-        self.witness = Witness()
+        self.witness = Verifier()
         self.states, self.universe = self.witness.states, self.witness.universe
         self.acknowledged = self.witness.acknowledged
         self.sent, self.bytes, self.steps = Counter(), Counter(), 0
@@ -343,8 +343,8 @@
         if when == "fails":
             return node.tell(NotStored(command.position.number, "disk full"))
         if when != "before":
-            if command.digest != whole(summed(node.machine.store, as_changes(command.rows))):
-                raise Wrong(f"the digest of {command.position} is not that of its state")
+            if command.digest != total_digest(updated_sums(node.machine.store, as_changes(command.rows))):
+                raise VerificationError(f"the digest of {command.position} is not that of its state")
             self.disks[node.name].commit(command)
         if when is not None:
             return node.kill()
@@ -369,9 +369,9 @@
     def damage(self, node, name, value):
         """A record changes where it should not, and its digest with it."""
         store = node.machine.store
-        store.fold()
+        store.compact()
         changes = {(Kind.SERVER, name): value}
         self.universe.update(changes)
-        store.commit(changes, array("Q", summed(store, changes)))
-        store.fold()
+        store.commit(changes, array("Q", updated_sums(store, changes)))
+        store.compact()
         node.damaged = True
--- a/tests/control_peer.py
+++ b/tests/control_peer.py
@@ -17,15 +17,15 @@
     Unkeep,
     Wake,
 )
-from oakfork.control.follower_server import Feeder
+from oakfork.control.follower_server import FollowerServer
 from oakfork.control.messages import VERSION, Hello, Position, unpack_down, unpack_up
-from oakfork.control.state import as_changes, summed, whole
+from oakfork.control.state import as_changes, total_digest, updated_sums
 
 P = Position
 AT = P(1, 4)
 
 
-class Hand:
+class ScriptedPeer:
     """Speaks to a machine; `said` is what came on each link, `steps` are done as asked for."""
 
     def __init__(self, machine):
@@ -78,14 +78,14 @@
 
 def served(rows=(), position=AT, **more):
     store = filled(rows)
-    return Hand(Feeder("it", store, position, lambda now: 7, **more))
+    return ScriptedPeer(FollowerServer("it", store, position, lambda now: 7, **more))
 
 
 def goes_on(hand, *rows):
     """The next change set is in force."""
     machine, changes = hand.machine, as_changes(rows)
-    machine.store.commit(changes, summed(machine.store, changes))
-    machine.store.fold()
+    machine.store.commit(changes, updated_sums(machine.store, changes))
+    machine.store.compact()
     before, position = machine.position, P(machine.position.term, machine.position.number + 1)
     hand.take(machine.in_force(hand.now, InForce(before, position, changes)))
 
@@ -99,6 +99,6 @@
             who or f"g{link}",
             relay,
             position or hand.machine.position,
-            whole(hand.machine.store.sums) if digest is None else digest,
+            total_digest(hand.machine.store.sums) if digest is None else digest,
         ),
     )
--- a/tests/control_tier.py
+++ b/tests/control_tier.py
@@ -27,7 +27,7 @@
     return "{}:{}".format(*listener.socket.getsockname()[:2])
 
 
-class Tier:
+class ControlTier:
     """A publisher, two relays that follow it, and agents that follow the relays, in one loop."""
 
     def __init__(self, path, nursery):
@@ -74,7 +74,9 @@
 
     async def everywhere(self, position, followers=3):
         with trio.fail_after(WAIT):
-            while not status_text.whole(told := await client.status(self.publisher_at), position, followers):
+            while not status_text.in_force_everywhere(
+                told := await client.status(self.publisher_at), position, followers
+            ):
                 await trio.sleep(0.02)
         assert all(agent.position >= position for agent in self.agents)
         return told
@@ -92,7 +94,7 @@
 @asynccontextmanager
 async def tier(path, **more):
     async with trio.open_nursery() as nursery:
-        it = Tier(path / "db", nursery)
+        it = ControlTier(path / "db", nursery)
         await it.start(**more)
         yield it
         nursery.cancel_scope.cancel()
--- a/tests/control_verifier.py
+++ b/tests/control_verifier.py
@@ -5,10 +5,10 @@
 from oakfork.control import encoded_frames, follower_server
 from oakfork.control.messages import Position, Row
 from oakfork.control.publisher import QUEUED, Publisher
-from oakfork.control.state import Records, as_changes, summed, whole
+from oakfork.control.state import Records, as_changes, total_digest, updated_sums
 
 
-class Wrong(AssertionError):
+class VerificationError(AssertionError):
     """What the witness found."""
 
 
@@ -16,12 +16,12 @@
     """A store with these records."""
     store = Records()
     changes = as_changes(rows)
-    store.commit(changes, summed(store, changes))
-    store.fold()
+    store.commit(changes, updated_sums(store, changes))
+    store.compact()
     return store
 
 
-class Witness:
+class Verifier:
     """`states`: what is in force at each position, told by the disks; `acknowledged`: by id the position and rows, told
     by the operator; `universe`: all keys that ever were."""
 
@@ -33,18 +33,18 @@
         may show something else, until they don't."""
         machine = node.machine
         if machine.position < node.seen:
-            raise Wrong(f"{node.name} went back from {node.seen} to {machine.position}")
+            raise VerificationError(f"{node.name} went back from {node.seen} to {machine.position}")
         node.seen = machine.position
         expected = self.states.get(machine.position)
         if expected is None:
-            raise Wrong(f"{node.name} is at {machine.position}, which never was")
+            raise VerificationError(f"{node.name} is at {machine.position}, which never was")
         other = [key for key in self.universe if machine.store.value(*key) != expected.get(key)]
         if other and not node.damaged:
-            raise Wrong(f"{node.name} shows at {machine.position} what never was: {other[:3]}")
+            raise VerificationError(f"{node.name} shows at {machine.position} what never was: {other[:3]}")
         node.damaged = bool(other)
         if isinstance(machine, Publisher) and len(machine.queue) > QUEUED:
-            raise Wrong(f"{node.name}: {len(machine.queue)} change sets wait")
-        if (serving := getattr(machine, "feeder", None)) is not None:
+            raise VerificationError(f"{node.name}: {len(machine.queue)} change sets wait")
+        if (serving := getattr(machine, "follower_server", None)) is not None:
             self.bounds(node, serving)
 
     def bounds(self, node, serving):
@@ -60,18 +60,18 @@
             "backlog": (len(serving.ranges.behind), encoded_frames.BACKLOG),
             "rows": (history.rows, history.most_rows),
             "sets": (len(history.sets), history.most_sets),
-            "roster": (len(serving.roster.links), len(links)),
+            "roster": (len(serving.registry.links), len(links)),
         }
         over = {what: (size, most) for what, (size, most) in sizes.items() if size > most}
         if over:
-            raise Wrong(f"{node.name}: over their bounds: {over}")
+            raise VerificationError(f"{node.name}: over their bounds: {over}")
 
     def agreed(self, nodes):
         """In the end, of those alive: nothing acknowledged is lost, and all have the same."""
         expected, taken = {}, set()
         for id, (position, rows) in sorted(self.acknowledged.items(), key=lambda each: each[1][0]):
             if position in taken:
-                raise Wrong(f"{id} was acknowledged at {position}, as another was")
+                raise VerificationError(f"{id} was acknowledged at {position}, as another was")
             taken.add(position)
             for row in rows:
                 expected[row.kind, row.name] = row.value
@@ -79,8 +79,10 @@
         for node in nodes:
             lost = [key for key in self.universe if node.machine.store.value(*key) != expected.get(key)]
             if lost:
-                raise Wrong(f"{node.name} has lost what was acknowledged: {lost[:3]}")
-            if whole(node.machine.store.sums) != whole(filled(rows).sums):
-                raise Wrong(f"{node.name} has another digest")
+                raise VerificationError(f"{node.name} has lost what was acknowledged: {lost[:3]}")
+            if total_digest(node.machine.store.sums) != total_digest(filled(rows).sums):
+                raise VerificationError(f"{node.name} has another digest")
         if len({node.machine.position for node in nodes}) != 1:
-            raise Wrong(f"not all are where the others are: {[(node.name, node.machine.position) for node in nodes]}")
+            raise VerificationError(
+                f"not all are where the others are: {[(node.name, node.machine.position) for node in nodes]}"
+            )
--- a/tests/fake_services.py
+++ b/tests/fake_services.py
@@ -13,14 +13,14 @@
 from contextlib import closing, contextmanager, suppress
 from http.server import BaseHTTPRequestHandler, ThreadingHTTPServer
 
-from oakfork.lab.port_allocator import free_places, text
+from oakfork.lab.port_allocator import free_addresses, text
 from oakfork.sockets import configuration
 
 CUSTOMER = "00000000b4d65521"
 http.client._MAXHEADERS = 2000  # of the stand-ins, which take a hundred otherwise
 
 
-class StandIn(ThreadingHTTPServer):
+class FakeService(ThreadingHTTPServer):
     """A party beside the gateway; `act` answers a request, and `seen` has what came whole."""
 
     daemon_threads = True
@@ -60,7 +60,7 @@
         self.wfile.write(body)
 
 
-class Discovery(StandIn):
+class FakeDiscovery(FakeService):
     """An agent that tells one list, and changes of it to those who watch."""
 
     def __init__(self, servers):
@@ -138,7 +138,7 @@
 
 def free_port(kind=socket.SOCK_STREAM):
     """An address of this test worker's alone: its process's block of ports, which no other process gets."""
-    return text(free_places(1, kind)[0])
+    return text(free_addresses(1, kind)[0])
 
 
 def told(discovery, servers, **more):
@@ -177,13 +177,13 @@
         process.wait()
 
 
-class World:
+class GatewayProcess:
     """One gateway before a few servers."""
 
     def __init__(self, folder, acts, states=(), **more):
-        self.servers = [StandIn(act) for act in acts]
+        self.servers = [FakeService(act) for act in acts]
         self.list = [entry(i, server.address, **dict(states).get(i, {})) for i, server in enumerate(self.servers)]
-        self.discovery = Discovery(self.list)
+        self.discovery = FakeDiscovery(self.list)
         self.told = told(self.discovery.address, self.list, **more)
         self.at = self.told["listen"]
         self.folder, self.context = folder, started(folder, self.told)
@@ -203,7 +203,7 @@
 
 
 def connection(at):
-    return http.client.HTTPConnection(*configuration.address(at), timeout=5)
+    return http.client.HTTPConnection(*configuration.parse_address(at), timeout=5)
 
 
 def headers(lane="read", tier="free", **more):
@@ -229,7 +229,7 @@
 
 def raw(at, data, answers=1):
     """What comes back for some bytes, until so many answers have come whole or the other side ends."""
-    with closing(socket.create_connection(configuration.address(at), timeout=8)) as sock:
+    with closing(socket.create_connection(configuration.parse_address(at), timeout=8)) as sock:
         got = b""
         with suppress(ConnectionError):
             sock.sendall(data)
@@ -267,4 +267,4 @@
 def surroundings(tmp_path, **more):
     path = tmp_path / "here.json"
     path.write_text(json.dumps(told("127.0.0.1:9", [], **more)))
-    return configuration.read({"LB_CONFIG": str(path)})
+    return configuration.read_configuration({"LB_CONFIG": str(path)})
--- a/tests/gateway_network.py
+++ b/tests/gateway_network.py
@@ -65,7 +65,7 @@
     )
 
 
-class World:
+class GatewayNetwork:
     def __init__(self, seed: int, gateways: int, servers: int, trouble=True, **told) -> None:
         self.dice, self.trouble, self.settings = random.Random(seed), trouble, {"probing": False} | told
         self.methods = self.settings.get("methods", METHODS)
--- a/tests/lease_search.py
+++ b/tests/lease_search.py
@@ -12,10 +12,10 @@
 from typing import Any, Iterator, NamedTuple
 
 from oakfork.leases import fence, holder, voter
-from oakfork.leases.durations import Lengths
-from oakfork.leases.messages import Ask, Clock, Free, Grant, Hello, Refusal, Release
+from oakfork.leases.durations import LeaseDurations
+from oakfork.leases.messages import Ask, ClockReply, ClockRequest, Grant, Refusal, Release, VoteFreed
 
-LENGTHS = Lengths(lease=24, drift=200, act=24, longest=24)
+LENGTHS = LeaseDurations(lease=24, drift=200, act=24, longest=24)
 SLOW, EVEN, FAST = 8, 10, 12  # ticks of a clock in one step of true time; a drift of 200 allows these
 WAKE, RESTART, ACT, LEAVE = -1, -2, -3, -4  # what happens to a part, beside messages
 GUARD = -1  # the name of what is acted upon
@@ -30,7 +30,7 @@
 
 class Holder(NamedTuple):
     one: holder.Contender
-    view: fence.View | None = None
+    view: fence.ClockView | None = None
 
 
 class State(NamedTuple):
@@ -41,11 +41,11 @@
     held: tuple[int, int] = (0, 0)  # the highest term that was held, and the holder's life
 
 
-class Broken(Exception):
+class InvariantBrokenError(Exception):
     pass
 
 
-class Numbers:
+class ValueNumbering:
     """A number for each thing, and back."""
 
     def __init__(self) -> None:
@@ -81,19 +81,19 @@
         self.voters, self.contenders, self.rates = voters, contenders, rates
         self.left, self.ticks, self.step = (wakes, restarts, acts, leaves), ticks, step
         self.do = {
-            "started": voter.started,
-            "asked": voter.asked,
-            "released": voter.released,
-            "woken": holder.woken,
-            "granted": holder.granted,
-            "left": holder.left,
-            "refused": holder.refused,
-            "acts": holder.acts,
-            "judge": fence.judge,
-            "end_there": fence.end_there,
+            "started": voter.initial_vote,
+            "asked": voter.on_ask,
+            "released": voter.on_release,
+            "woken": holder.on_timer,
+            "granted": holder.on_grant,
+            "left": holder.on_leave,
+            "refused": holder.on_refusal,
+            "acts": holder.begin_act,
+            "judge": fence.check_act,
+            "end_there": fence.end_on_their_clock,
         } | changed
         self.head, self.all_answers = head, all_answers
-        self.local, self.messages = Numbers(), Numbers()
+        self.local, self.messages = ValueNumbering(), ValueNumbering()
         self.seen = self.depth = 0
         self.plain, self.does = cache(self._plain), cache(self._does)
         self.holds, self.matters = cache(self._holds), cache(self._matters)
@@ -163,26 +163,26 @@
             case Refusal(), Holder(one):
                 one, asks = self.do["refused"](one, clock, message, LENGTHS, 0, 0.0)
                 state, said = state._replace(one=one), [(to, ask) for ask in asks for to in range(self.voters)]
-            case Free(), Holder(one):
-                state = state._replace(one=holder.freed(one, clock))
+            case VoteFreed(), Holder(one):
+                state = state._replace(one=holder.on_free(one, clock))
             case -3, Holder(one, view) if one.holds(clock):
                 if view is None:
-                    said = [(GUARD, Hello(0, one.me, 1))]
+                    said = [(GUARD, ClockRequest(0, one.me, 1))]
                 else:
                     one, end = self.do["acts"](one, clock, LENGTHS)
                     state = state._replace(one=one)
                     said = [(GUARD, Act(one.me, view.life, one.term, self.do["end_there"](view, end, LENGTHS)))]
             case -4, Holder(one):
                 state = state._replace(one=self.do["left"](one, clock, LENGTHS))
-            case Clock(), Holder(_, None):
-                state = state._replace(view=fence.View(message.life, message.clock, clock))
-            case Hello(), _:
-                said = [(self.voters + message.gateway, fence.clock(state, clock, message))]
+            case ClockReply(), Holder(_, None):
+                state = state._replace(view=fence.ClockView(message.life, message.clock, clock))
+            case ClockRequest(), _:
+                said = [(self.voters + message.gateway, fence.clock_reply(state, clock, message))]
             case Act(), _:
                 if message.term < state.highest:
                     taken = self.do["judge"](state, clock, *message[1:])[1] is fence.Verdict.TAKEN
                     if taken:
-                        raise Broken(f"an act of term {message.term} after one of term {state.highest}")
+                        raise InvariantBrokenError(f"an act of term {message.term} after one of term {state.highest}")
                 state, verdict = self.do["judge"](state, clock, *message[1:])
                 taken = verdict is fence.Verdict.TAKEN
         return self.plain(part, self.local(state), now), tuple(map(self.messages, said)), taken
@@ -235,16 +235,18 @@
             if one != act.contender and self.holds(state.parts[self.voters + one], state.now)
         ]
         if others:
-            raise Broken(f"an act of {act.contender} in term {act.term} has its effect while {others} holds")
+            raise InvariantBrokenError(
+                f"an act of {act.contender} in term {act.term} has its effect while {others} holds"
+            )
 
     def _checked(self, state: State) -> State:
         holding = [local for local in state.parts[self.voters : -1] if self.holds(local, state.now)]
         if len(holding) > 1:
-            raise Broken(f"two hold at {state.now}")
+            raise InvariantBrokenError(f"two hold at {state.now}")
         for one in (self.local.list[local].one for local in holding):
             if (one.term, one.life) != state.held:
                 if one.term <= state.held[0]:
-                    raise Broken(f"term {one.term} is held after term {state.held[0]}")
+                    raise InvariantBrokenError(f"term {one.term} is held after term {state.held[0]}")
                 state = state._replace(held=(one.term, one.life))
         return state
 
--- a/tests/test_any_bytes.py
+++ b/tests/test_any_bytes.py
@@ -60,7 +60,7 @@
         thread.start()
         socks = []
         for number in range(150):
-            sock = socket.create_connection(configuration.address(w.at), timeout=5)
+            sock = socket.create_connection(configuration.parse_address(w.at), timeout=5)
             data = spoilt(chance, request_bytes(**{"X-Txn": f"{seed}-{number}"}) * chance.choice((1, 1, 3)))
             cut = chance.randrange(len(data) + 1)
             with suppress(ConnectionError):
@@ -89,7 +89,7 @@
 
 
 def test_a_request_that_trickles_is_ended_in_its_time(world):
-    with world(echo) as w, socket.create_connection(configuration.address(w.at), timeout=5) as sock:
+    with world(echo) as w, socket.create_connection(configuration.parse_address(w.at), timeout=5) as sock:
         begun, got = time.monotonic(), b""
         sock.settimeout(0.05)
         for byte in request_bytes(**{"X-Pad": "x" * 200}):
--- a/tests/test_callouts.py
+++ b/tests/test_callouts.py
@@ -18,12 +18,12 @@
 from oakfork.errors import ConnectionFailedError
 from oakfork.interface import Status
 from oakfork.sockets import server_connections as network
-from oakfork.sockets.decision_loop import Keeper
+from oakfork.sockets.decision_loop import DecisionLoop
 from oakfork.sockets.exchange import CallOut, Exchange
-from oakfork.sockets.http_connection import LARGEST_BODY, Link, Message
-from oakfork.sockets.messages import Came, Left, Listed, tell
-from oakfork.sockets.outcomes import STATUS, Ending
-from oakfork.sockets.server_connections import REST, Servers
+from oakfork.sockets.http_connection import LARGEST_BODY, HttpConnection, HttpMessage
+from oakfork.sockets.messages import ClientLeft, RpcReceived, ServersListed, enqueue
+from oakfork.sockets.outcomes import STATUS_OF_OUTCOME, Outcome
+from oakfork.sockets.server_connections import REST, ServerConnections
 
 ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone"
 LISTED = [entry(0, "127.0.0.1:1001"), entry(1, "127.0.0.1:1002")]
@@ -47,8 +47,8 @@
         self.wanted.append((address, up, theirs))
         with trio.CancelScope(deadline=trio.current_time() + patience):
             await up.wait()
-            return Link(ours, h11.CLIENT, largest)
-        raise ConnectionFailedError(Ending.NEVER_UP)
+            return HttpConnection(ours, h11.CLIENT, largest)
+        raise ConnectionFailedError(Outcome.NEVER_UP)
 
     def ask(self, number, lane="read", **more):
         fields = {"X-Txn": str(number), "X-Lane": lane, "X-Tier": "free", "X-Remaining-Ms": "2000", "Host": "a"} | more
@@ -58,13 +58,13 @@
             headers=[*fields.items(), ("Idempotency-Key", "k")],
         )
         exchange = Exchange(
-            Message(head, b""),
+            HttpMessage(head, b""),
             self.here.names,
             self.here.settings,
             lambda answer: self.answers.setdefault(number, answer),
         )
         self.asked_until = exchange.until
-        tell(self.queue, Came(exchange))
+        enqueue(self.queue, RpcReceived(exchange))
         return exchange
 
     async def settle(self):
@@ -73,9 +73,9 @@
     def play(self, test):
         async def main():
             self.queue, inbox = trio.open_memory_channel(math.inf)
-            self.servers = Servers(50, LARGEST_BODY, self.here.connect_patience, 15.0, ())
+            self.servers = ServerConnections(50, LARGEST_BODY, self.here.connect_patience, 15.0, ())
             async with trio.open_nursery() as nursery:
-                self.keeper = Keeper(
+                self.keeper = DecisionLoop(
                     self.here, inbox, self.queue, self.servers, None, None, None, nursery, structlog.get_logger()
                 )
                 nursery.start_soon(self.keeper.run)
@@ -101,23 +101,23 @@
 @pytest.mark.parametrize(
     "news",
     [
-        Listed(False, False, [LISTED[0] | {"state": "draining"}]),
-        Listed(False, False, [LISTED[0] | {"state": "removed"}]),
-        Listed(True, False, LISTED[1:]),
-        Listed(False, False, [LISTED[0] | {"started_ms": 5000}]),
-        Listed(False, False, [LISTED[0] | {"addr": "127.0.0.1:1003"}]),
+        ServersListed(False, False, [LISTED[0] | {"state": "draining"}]),
+        ServersListed(False, False, [LISTED[0] | {"state": "removed"}]),
+        ServersListed(True, False, LISTED[1:]),
+        ServersListed(False, False, [LISTED[0] | {"started_ms": 5000}]),
+        ServersListed(False, False, [LISTED[0] | {"addr": "127.0.0.1:1003"}]),
     ],
 )
 @pytest.mark.parametrize("lane", ["read", "seal", "hand"])
 def test_what_is_told_of_a_server_before_the_first_byte_holds(tmp_path, monkeypatch, news, lane):
     async def test(rig):
-        tell(rig.queue, Listed(False, False, [LISTED[1] | {"state": "draining"}]))  # one is left to choose
+        enqueue(rig.queue, ServersListed(False, False, [LISTED[1] | {"state": "draining"}]))  # one is left to choose
         rig.ask(1, lane)
         await rig.settle()
         [(address, up, theirs)] = rig.wanted
         assert address == ("127.0.0.1", 1001)
-        tell(rig.queue, Listed(False, False, LISTED[1:]))
-        tell(rig.queue, news)
+        enqueue(rig.queue, ServersListed(False, False, LISTED[1:]))
+        enqueue(rig.queue, news)
         await rig.settle()
         up.set()
         await rig.settle()
@@ -144,7 +144,7 @@
         await rig.settle()
         assert b"x-txn: 0" in written(one)[0]
         for exchange in exchanges:
-            tell(rig.queue, Left(exchange))
+            enqueue(rig.queue, ClientLeft(exchange))
         await rig.settle()
         late.set()
         await rig.settle()
@@ -321,8 +321,8 @@
 
 def test_kept_connections_rest_and_are_used_again():
     async def main():
-        servers = Servers(20, LARGEST_BODY, 0.25, 15.0, ())
-        links = [Link(_open(), h11.CLIENT) for _ in range(3)]
+        servers = ServerConnections(20, LARGEST_BODY, 0.25, 15.0, ())
+        links = [HttpConnection(_open(), h11.CLIENT) for _ in range(3)]
         servers.open, now = 3, trio.current_time()
         servers.idle[0] = [(now - REST * 2, links[0]), (now - REST * 1.5, links[1]), (now - REST / 2, links[2])]
         assert servers._kept(0)[0] is links[1] and servers._kept(0)[0] is links[0] and servers._kept(0)[0] is None
@@ -345,17 +345,19 @@
     ours.setblocking(False)
 
     async def connect(address, patience, largest):
-        return Link(ours, h11.CLIENT)
+        return HttpConnection(ours, h11.CLIENT)
 
     async def call(call_out=None):
         head = h11.Request(method="POST", target="/", headers=[("Host", "a"), ("Content-Length", "60000")])
-        return await Servers(9, LARGEST_BODY, 0.25, 15.0, ()).call(0, ("a", 1), lambda: head, bytes(60_000), call_out)
+        return await ServerConnections(9, LARGEST_BODY, 0.25, 15.0, ()).call(
+            0, ("a", 1), lambda: head, bytes(60_000), call_out
+        )
 
     monkeypatch.setattr(network, "connect", connect)
     return theirs, call
 
 
-@pytest.mark.parametrize("reads, ending", [(0, Ending.UNSENT), (200_000, Ending.ENDED)])
+@pytest.mark.parametrize("reads, ending", [(0, Outcome.UNSENT), (200_000, Outcome.ENDED)])
 def test_a_request_written_in_part_never_ran_and_one_written_whole_may_have(monkeypatch, reads, ending):
     async def main():
         theirs, call = large_call(monkeypatch)
@@ -379,7 +381,9 @@
         return ends[0][0]
 
     assert trio.run(main) == ending
-    assert STATUS[Ending.UNSENT] == Status.CONNECT_FAILED and STATUS[Ending.ENDED] == Status.RESET
+    assert (
+        STATUS_OF_OUTCOME[Outcome.UNSENT] == Status.CONNECT_FAILED and STATUS_OF_OUTCOME[Outcome.ENDED] == Status.RESET
+    )
 
 
 def test_written_by_ends_a_write_that_is_not_whole_in_time(monkeypatch):
@@ -392,12 +396,12 @@
         theirs.close()
         return ending, closed and len(got) < 60_000
 
-    assert trio.run(main) == (Ending.UNSENT, True)
+    assert trio.run(main) == (Outcome.UNSENT, True)
 
 
 def test_a_probe_that_came_up_late_does_not_speak_for_the_process_that_runs_there_now():
     async def main():
-        servers = Servers(9, LARGEST_BODY, 0.25, 15.0, ())
+        servers = ServerConnections(9, LARGEST_BODY, 0.25, 15.0, ())
         with closing(socket.create_server(("127.0.0.1", 0))) as listener:
             address = listener.getsockname()
             async with trio.open_nursery() as nursery:
@@ -415,4 +419,4 @@
 
     ends = []
     trio.run(main)
-    assert [ending for ending, _ in ends] == [Ending.ANSWERED]
+    assert [ending for ending, _ in ends] == [Outcome.ANSWERED]
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -12,8 +12,8 @@
 from fake_services import CUSTOMER, connection, echo, headers, raw, request_bytes, rpc, surroundings
 
 from oakfork.sockets import configuration
-from oakfork.sockets.exchange import BadRequest, Exchange
-from oakfork.sockets.http_connection import LARGEST_BODY, Message
+from oakfork.sockets.exchange import BadRequestError, Exchange
+from oakfork.sockets.http_connection import LARGEST_BODY, HttpMessage
 
 
 def test_bad_input_gets_an_answer_or_a_closed_connection(world):
@@ -69,13 +69,13 @@
         assert raw(w.at, request_bytes(**{"X-Lane": "nothing"}) * 300, 300).count(b"HTTP/1.1 400") == 1
         many = "".join(f"h{i}: x\r\n" for i in range(1100)).encode()  # more than one gathered write takes
         assert b"made for" in raw(w.at, request_bytes()[:-2] + many + b"\r\n")
-        with closing(socket.create_connection(configuration.address(w.at), timeout=0.3)) as flood:  # never reads
+        with closing(socket.create_connection(configuration.parse_address(w.at), timeout=0.3)) as flood:  # never reads
             with pytest.raises(TimeoutError):
                 for _ in range(4000):
                     flood.sendall(b"GET /-/nothing HTTP/1.1\r\nHost: a\r\n\r\n" * 100)
             got = flood.recv(9000)
             assert got.count(b"HTTP/1.1 404") > 50 and b"HTTP/1.1 404 \r\ncontent-length: 0\r\n\r\n" * 50 in got
-        with closing(socket.create_connection(configuration.address(w.at))) as cut:
+        with closing(socket.create_connection(configuration.parse_address(w.at))) as cut:
             cut.sendall(b"GET /api")
         assert rpc(w.at)[0] == 200
 
@@ -132,7 +132,7 @@
 
 def test_idle_clients_leave_room_for_others(world):
     with world(echo) as w:
-        idle = [socket.create_connection(configuration.address(w.at)) for _ in range(300)]  # of 256 descriptors
+        idle = [socket.create_connection(configuration.parse_address(w.at)) for _ in range(300)]  # of 256 descriptors
         time.sleep(0.3)
         assert all(rpc(w.at)[0] == 200 for _ in range(5))
         for sock in idle:
@@ -148,7 +148,7 @@
 
     with world(slow) as w:
         for _ in range(3):
-            asking = [socket.create_connection(configuration.address(w.at), timeout=3) for _ in range(120)]
+            asking = [socket.create_connection(configuration.parse_address(w.at), timeout=3) for _ in range(120)]
             for number, sock in reversed([*enumerate(asking)]):  # each its own id: others get 409 at once
                 sock.sendall(request_bytes(**{"X-Remaining-Ms": "2000", "X-Txn": str(number)}))
             assert all(sock.recv(65536).startswith(b"HTTP/1.1 ") for sock in asking)
@@ -158,7 +158,7 @@
 
 def test_random_heads_are_read_or_named_bad(tmp_path):
     async def main():
-        return Exchange(Message(head, b""), here.names, here.settings, print)
+        return Exchange(HttpMessage(head, b""), here.names, here.settings, print)
 
     chance, here = random.Random(5), surroundings(tmp_path)
     good = {"x-lane": b"read", "x-tier": b"free", "x-txn": b"1", "x-remaining-ms": b"5", "x-call-terms": b"units=2"}
@@ -179,7 +179,7 @@
         )
         try:
             exchange = trio.run(main)
-        except BadRequest:
+        except BadRequestError:
             continue
         read += 1
         assert 0 <= exchange.customer < 1 << 33 and 0 < exchange.units <= 2 and 0 <= exchange.time_left <= 20_000
@@ -194,7 +194,7 @@
     chance = random.Random(1)
     with world(act, act) as w:
         for _ in range(60):
-            with closing(socket.create_connection(configuration.address(w.at), timeout=5)) as sock:
+            with closing(socket.create_connection(configuration.parse_address(w.at), timeout=5)) as sock:
                 sock.sendall(request_bytes(**{"X-Txn": "%x" % chance.getrandbits(60)}))
                 time.sleep(0.015 + chance.random() * 0.02)
         assert rpc(w.at)[:2] == (200, bytes(400_000)) and w.process.poll() is None
--- a/tests/test_closes.py
+++ b/tests/test_closes.py
@@ -14,13 +14,13 @@
 from fake_services import echo, request_bytes, rpc, settings, surroundings, until
 
 from oakfork.sockets import configuration
-from oakfork.sockets.client_connections import IDLE, LINGERING, Client, Clients
+from oakfork.sockets.client_connections import IDLE, LINGERING, ClientConnection, ClientConnections
 from oakfork.sockets.exchange import Answer
-from oakfork.sockets.messages import Came, Left
+from oakfork.sockets.messages import ClientLeft, RpcReceived
 
 
 def opened(at, timeout=5.0):
-    return socket.create_connection(configuration.address(at), timeout=timeout)
+    return socket.create_connection(configuration.parse_address(at), timeout=timeout)
 
 
 def rest(sock):
@@ -115,7 +115,7 @@
     listener = socket.create_server(("127.0.0.1", 0))
     listener.setblocking(False)
     yield (
-        lambda nursery, most=50: Clients(
+        lambda nursery, most=50: ClientConnections(
             surroundings(tmp_path), listener, most, queue, nursery, structlog.get_logger()
         ),
         listener.getsockname(),
@@ -159,7 +159,7 @@
             async with trio.open_nursery() as nursery:
                 ours, theirs = socket.socketpair()
                 with closing(theirs):
-                    client = Client(clients_in(nursery), _tcp(ours))
+                    client = ClientConnection(clients_in(nursery), _tcp(ours))
                     data = request_bytes()
                     theirs.sendall(data[:-2])
                     await client.link.fill()
@@ -169,7 +169,7 @@
                         theirs.sendall(data[-2:])
                     assert client._last_look() is whole
                     if whole:
-                        assert isinstance(inbox.receive_nowait(), Came) and client.scope.deadline == math.inf
+                        assert isinstance(inbox.receive_nowait(), RpcReceived) and client.scope.deadline == math.inf
                     else:
                         assert theirs.recv(100).startswith(b"HTTP/1.1 408")
                     ours.close()
@@ -186,7 +186,7 @@
                 ours, theirs = socket.socketpair()
                 ours.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
                 with closing(theirs):
-                    client = Client(clients_in(nursery), _tcp(ours))
+                    client = ClientConnection(clients_in(nursery), _tcp(ours))
                     theirs.sendall(b"GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n" + request_bytes()[:-2])
                     client._take = lambda message: client._write(Answer(200, bytes(100_000)))
                     await client.link.fill()
@@ -232,7 +232,7 @@
                 with trio.fail_after(20):
                     while len(left) < 1500:
                         told = await inbox.receive()
-                        if isinstance(told, Left):
+                        if isinstance(told, ClientLeft):
                             assert told.exchange.id in came
                             left.add(told.exchange.id)
                         else:
@@ -289,7 +289,7 @@
                 came = await inbox.receive()
                 sock.close()
                 left = await inbox.receive()
-                assert isinstance(left, Left) and left.exchange is came.exchange
+                assert isinstance(left, ClientLeft) and left.exchange is came.exchange
                 came.exchange.answer(None)  # to nobody
                 assert not clients.ids
                 nursery.cancel_scope.cancel()
--- a/tests/test_contracts.py
+++ b/tests/test_contracts.py
@@ -12,13 +12,13 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
 from oakfork.contracts import allocation, contracts_file as books, runner, shares
-from oakfork.contracts.admission import BACK, SECOND, Gate, Tenant, fitting
+from oakfork.contracts.admission import RECLAIM_TIME, SECOND, ContractAdmission, Tenant, fit_to_capacity
 from oakfork.contracts.runner import Contracts, key_of_site
 from oakfork.errors import ContractsFileError
 from oakfork.fleet import config as fleetfile
-from oakfork.fleet.transport import Post
-from oakfork.leases.durations import Lengths
-from oakfork.leases.runner import Leases
+from oakfork.fleet.transport import DatagramTransport
+from oakfork.leases.durations import LeaseDurations
+from oakfork.leases.runner import LeaseRunner
 
 WINDOW = {"from": "2027-01-01T00:00:00Z", "until": "2027-03-01T00:00:00Z"}
 BOOK = {
@@ -111,7 +111,7 @@
         books.checked(changed(contract__0__legs_per_s=150.0, contract__1__window=[late]))
 
 
-LENGTHS = Lengths(lease=1_000, drift=100, act=0, longest=1_000)
+LENGTHS = LeaseDurations(lease=1_000, drift=100, act=0, longest=1_000)
 GATEWAYS = 4
 
 
@@ -121,7 +121,9 @@
     @initialize(rates=st.lists(st.integers(900, 1_100), min_size=GATEWAYS, max_size=GATEWAYS), whole=st.integers(1, 90))
     def start(self, rates, whole):
         self.now, self.rates, self.whole = 1_000_000, rates, whole
-        self.parts = [shares.started(shares.even_part(whole, me, GATEWAYS), 0, LENGTHS) for me in range(GATEWAYS)]
+        self.parts = [
+            shares.initial_share(shares.even_share(whole, me, GATEWAYS), 0, LENGTHS) for me in range(GATEWAYS)
+        ]
         self.lives, self.asks, self.answers = [0] * GATEWAYS, [], []
         self.loans = 0
 
@@ -156,7 +158,7 @@
     @rule(me=st.integers(0, GATEWAYS - 1))
     def restarts(self, me):
         self.lives[me] += 1
-        self.parts[me] = shares.started(self.parts[me].even, self.clock(me), LENGTHS)
+        self.parts[me] = shares.initial_share(self.parts[me].even, self.clock(me), LENGTHS)
 
     @invariant()
     def the_parts_never_sum_to_more_than_the_whole(self):
@@ -196,12 +198,16 @@
     "name, broken, steps",
     [
         ("stretched", lambda self, time: time, [*TWO_BORROW, ("time_goes_on", 950)]),  # a lender counts no margin
-        ("started", lambda even, now, lengths: shares.Part(even, now), [*TWO_BORROW, ("restarts", 0)]),  # used at once
+        (
+            "started",
+            lambda even, now, durations: shares.Share(even, now),
+            [*TWO_BORROW, ("restarts", 0)],
+        ),  # used at once
         ("lent", lambda part, now: sum(loan.amount for loan in part.given[-1:] if now < loan.until), TWO_BORROW),
         (
             "borrowed",
-            lambda part, now, lender, amount, asked_at, lengths: part._replace(
-                taken=(*part.taken, shares.Loan(lender, amount, now + lengths.lease))
+            lambda part, now, lender, amount, asked_at, durations: part._replace(
+                taken=(*part.taken, shares.Loan(lender, amount, now + durations.lease))
             ),
             LATE,
         ),  # counted from the answer
@@ -209,7 +215,7 @@
 )
 def test_parts_that_are_counted_wrong_are_found_out(name, broken, steps, monkeypatch):
     played(*steps)
-    monkeypatch.setattr(Lengths if name == "stretched" else shares, name, broken)
+    monkeypatch.setattr(LeaseDurations if name == "stretched" else shares, name, broken)
     with pytest.raises(AssertionError):
         played(*steps)
 
@@ -217,10 +223,10 @@
 @settings(max_examples=300, deadline=None, derandomize=True)
 @given(whole=st.integers(1, 500), demand=st.dictionaries(st.integers(0, 9), st.integers(0, 400_000)))
 def test_what_is_dealt_sums_to_the_whole_and_takes_from_nobody_more_than_is_lendable(whole, demand):
-    even = [shares.even_part(whole, gateway, 10) for gateway in range(10)]
-    aims = allocation.targets(even, demand)
+    even = [shares.even_share(whole, gateway, 10) for gateway in range(10)]
+    aims = allocation.target_shares(even, demand)
     assert sum(aims) <= sum(even) and min(aims) >= 0
-    deals = allocation.dealt(even, demand)
+    deals = allocation.allocate(even, demand)
     for lender, deal in enumerate(deals):
         borrowed = sum(amount for other in deals for who, amount in other.borrows if who == lender)
         assert borrowed <= deal.lends <= even[lender] * shares.LENDABLE[0] // shares.LENDABLE[1]
@@ -228,9 +234,11 @@
 
 
 def test_one_that_has_all_the_demand_is_dealt_what_the_others_can_spare():
-    even = [shares.even_part(40, gateway, 4) for gateway in range(4)]
-    assert allocation.targets(even, {0: 60_000, 1: 0, 2: 0, 3: 0})[0] == 37_000  # a tenth stays with each of the others
-    assert allocation.targets(even, {}) == even  # nobody was heard
+    even = [shares.even_share(40, gateway, 4) for gateway in range(4)]
+    assert (
+        allocation.target_shares(even, {0: 60_000, 1: 0, 2: 0, 3: 0})[0] == 37_000
+    )  # a tenth stays with each of the others
+    assert allocation.target_shares(even, {}) == even  # nobody was heard
 
 
 def pressed(gate, tenants, seconds, per_second, who_asks, whole=30_000):
@@ -242,7 +250,7 @@
         for who, rate in zip(who_asks, per_second, strict=True):
             rate = rate(tick / 1000) if callable(rate) else rate
             if (tick * rate) // 1000 != ((tick + 1) * rate) // 1000:
-                verdict = gate.takes(now, who, whole, tenants)
+                verdict = gate.admit(now, who, whole, tenants)
                 went[who][tick // 1000] += not verdict.wait
                 reserved[who] += verdict.reserved
                 if verdict.reserved:
@@ -251,54 +259,54 @@
 
 
 def test_a_tenant_gets_what_is_reserved_however_hard_all_others_press():
-    went, _ = pressed(Gate(SECOND), {7: Tenant(10_000, 3, 9, 0)}, 10, (10, 300), (7, None))
+    went, _ = pressed(ContractAdmission(SECOND), {7: Tenant(10_000, 3, 9, 0)}, 10, (10, 300), (7, None))
     assert all(legs >= 10 for legs in went[7][1:]) and all(18 <= legs <= 22 for legs in went[None][2:])
 
 
 def test_what_is_reserved_and_idle_is_lent_and_back_at_once():
     asks = (lambda at: 0 if at < 4 else 10), 300
-    went, _ = pressed(Gate(SECOND), {7: Tenant(10_000, 3, 9, 0)}, 8, asks, (7, None))
+    went, _ = pressed(ContractAdmission(SECOND), {7: Tenant(10_000, 3, 9, 0)}, 8, asks, (7, None))
     assert all(27 <= legs <= 31 for legs in went[None][2:4])  # all that the sites can do
     assert went[7][4] >= 9 and all(legs >= 10 for legs in went[7][5:])
-    assert BACK <= SECOND // 5
+    assert RECLAIM_TIME <= SECOND // 5
 
 
 def test_beyond_what_is_reserved_a_tenant_is_as_all_others_are_and_open_legs_are_bounded():
-    went, reserved = pressed(Gate(SECOND), {7: Tenant(10_000, 3, 9, 0)}, 5, (100, 300), (7, None))
+    went, reserved = pressed(ContractAdmission(SECOND), {7: Tenant(10_000, 3, 9, 0)}, 5, (100, 300), (7, None))
     assert reserved[7] <= 3 + 10 * 5 + 1 < sum(went[7])
-    gate = Gate(0)
-    gate.takes(0, 7, 100_000, {7: Tenant(50_000, 20, 2, 0)})
-    verdicts = [gate.takes(SECOND + n, 7, 100_000, {7: Tenant(50_000, 20, 2, 0)}).reserved for n in range(4)]
+    gate = ContractAdmission(0)
+    gate.admit(0, 7, 100_000, {7: Tenant(50_000, 20, 2, 0)})
+    verdicts = [gate.admit(SECOND + n, 7, 100_000, {7: Tenant(50_000, 20, 2, 0)}).reserved for n in range(4)]
     assert verdicts == [True, True, False, False]
     gate.over(7)
-    assert gate.takes(SECOND + 9, 7, 100_000, {7: Tenant(50_000, 20, 2, 0)}).reserved
+    assert gate.admit(SECOND + 9, 7, 100_000, {7: Tenant(50_000, 20, 2, 0)}).reserved
 
 
 def test_a_leg_that_was_never_sent_comes_back_and_a_start_grants_no_burst():
-    gate, tenants = Gate(SECOND), {7: Tenant(10_000, 3, 9, 0)}
-    assert gate.takes(SECOND, 7, 30_000, tenants).wait
-    assert gate.takes(SECOND + 1_000, 7, 30_000, tenants).reserved
+    gate, tenants = ContractAdmission(SECOND), {7: Tenant(10_000, 3, 9, 0)}
+    assert gate.admit(SECOND, 7, 30_000, tenants).wait
+    assert gate.admit(SECOND + 1_000, 7, 30_000, tenants).reserved
     gate.unsent(7, True)
     gate.over(7)
-    assert gate.takes(SECOND + 1_000, 7, 30_000, tenants).reserved
+    assert gate.admit(SECOND + 1_000, 7, 30_000, tenants).reserved
 
 
 def test_when_the_sites_can_do_less_than_is_reserved_who_goes_first_has_the_least():
     tenants = {1: Tenant(10_000, 1, 1, 5), 2: Tenant(10_000, 1, 1, 0), 3: Tenant(10_000, 1, 1, 9)}
-    assert {key: tenant.part for key, tenant in fitting(tenants, 15_000).items()} == {1: 5_000, 2: 10_000, 3: 0}
-    assert fitting(tenants, 40_000) == tenants
+    assert {key: tenant.part for key, tenant in fit_to_capacity(tenants, 15_000).items()} == {1: 5_000, 2: 10_000, 3: 0}
+    assert fit_to_capacity(tenants, 40_000) == tenants
 
 
 def test_sites_are_told_apart():
     """Guards against one bucket for all sites: what is taken at one must not be missing at another."""
-    gate, here, there = Gate(0), 1, 2
+    gate, here, there = ContractAdmission(0), 1, 2
     tenants = {7: Tenant(10_000, 5, 9, 0)}
-    assert gate.takes(SECOND, 7, 20_000, tenants, site=here).reserved
-    assert not gate.takes(SECOND, 7, 20_000, {}, site=there).reserved
+    assert gate.admit(SECOND, 7, 20_000, tenants, site=here).reserved
+    assert not gate.admit(SECOND, 7, 20_000, {}, site=there).reserved
     for _ in range(40):
-        gate.takes(SECOND, None, 20_000, tenants, site=here)
-    assert gate.takes(SECOND, None, 20_000, tenants, site=here).wait
-    assert not gate.takes(SECOND, None, 20_000, {}, site=there).wait
+        gate.admit(SECOND, None, 20_000, tenants, site=here)
+    assert gate.admit(SECOND, None, 20_000, tenants, site=here).wait
+    assert not gate.admit(SECOND, None, 20_000, {}, site=there).wait
 
 
 def contracts(tmp_path, **more):
@@ -312,16 +320,18 @@
             "leases": {"voters": [0], "length_ms": 300, "act_ms": 50, "drift_permille": 10},
         }
     )
-    post = Post(file, 0)
-    post.sock.close()
-    return Contracts(str(path), file, 0, post, Leases(file, 0, post, structlog.get_logger()), structlog.get_logger())
+    transport = DatagramTransport(file, 0)
+    transport.sock.close()
+    return Contracts(
+        str(path), file, 0, transport, LeaseRunner(file, 0, transport, structlog.get_logger()), structlog.get_logger()
+    )
 
 
 def test_a_gateway_uses_its_part_at_the_sites_of_the_contract_and_what_the_ready_servers_can_do(tmp_path, monkeypatch):
     one = contracts(tmp_path, contract__1__sites=["cai-mep", "can-tho"], contract__1__legs_per_s=90.0)
     home, other = key_of_site("hai-phong"), key_of_site("cai-mep")
-    now = runner.clock() + 60 * SECOND
-    monkeypatch.setattr(runner, "clock", lambda: now)
+    now = runner.steady_clock() + 60 * SECOND
+    monkeypatch.setattr(runner, "steady_clock", lambda: now)
     force = one.in_force(now)
     gemadept, viconship = one.keys
     assert set(force[home][1]) == {gemadept} and set(force[other][1]) == {gemadept, viconship}
@@ -330,6 +340,6 @@
     one.listed(6)  # a third of the servers at home are gone
     assert one.in_force(now)[home][0] == pytest.approx(200_000 / 9, abs=1)
     assert one.in_force(now)[other][0] == pytest.approx(100_000 / 3, abs=1)
-    contract, verdict = one.arrives(0xB1)  # an ordinary RPC goes home, where viconship has nothing reserved
+    contract, verdict = one.admit_rpc(0xB1)  # an ordinary RPC goes home, where viconship has nothing reserved
     assert contract is None and not verdict.reserved
-    assert one.arrives(0xB1, site=other)[0] == viconship
+    assert one.admit_rpc(0xB1, site=other)[0] == viconship
--- a/tests/test_control_bursts.py
+++ b/tests/test_control_bursts.py
@@ -1,21 +1,21 @@
 """Bursts: change sets come faster than those who follow take them, and are merged on the way."""
 
-from control_network import World, put
-from control_peer import Hand, P, follows, goes_on, served
+from control_network import ControlNetwork, put
+from control_peer import P, ScriptedPeer, follows, goes_on, served
 from control_verifier import filled
 
 from oakfork.control.events import Connected, InForce, TimeCame
 from oakfork.control.follower import Follower
-from oakfork.control.follower_server import Feeder
+from oakfork.control.follower_server import FollowerServer
 from oakfork.control.messages import VERSION, Ack, Beat, Delta, Digests, Want, Welcome
-from oakfork.control.state import Records, as_changes, summed, whole
+from oakfork.control.state import Records, as_changes, total_digest, updated_sums
 
 
 def jumps(hand, *rows):
     """Several change sets come into force at once, as with a relay that lags."""
     machine, changes = hand.machine, as_changes(rows)
-    machine.store.commit(changes, summed(machine.store, changes))
-    machine.store.fold()
+    machine.store.commit(changes, updated_sums(machine.store, changes))
+    machine.store.compact()
     hand.take(machine.in_force(hand.now, InForce(machine.position, P(1, machine.position.number + 3), changes)))
 
 
@@ -33,7 +33,7 @@
     ):
         follows(hand, number, position=P(1, number), digest=number)
         told = hand.last(number)
-        assert isinstance(told, Delta) and told.digest == whole(hand.machine.store.sums)
+        assert isinstance(told, Delta) and told.digest == total_digest(hand.machine.store.sums)
         assert (told.after, told.position) == (P(1, number), P(1, 10))
         assert {row.name: row.value for row in told.rows} == rows
     follows(hand, 1, position=P(1, 3))
@@ -55,7 +55,7 @@
 
 
 def test_a_whole_state_is_no_step_that_one_may_have_passed():
-    hand = Hand(Feeder("it", Records(), P(), lambda now: 0))
+    hand = ScriptedPeer(FollowerServer("it", Records(), P(), lambda now: 0))
     jumps(hand, put("a", b"1"))  # from nothing to (1, 3)
     follows(hand, 1, position=P(1, 2), digest=7)
     assert isinstance(hand.last(1), Digests)
@@ -64,13 +64,13 @@
 def test_one_that_goes_on_but_is_never_up_to_date_does_not_turn():
     """Guards against turning in a burst, from relay to relay that are all busy: 1,963 times of 2,700 gateways, while
     2,000 change sets came in a row (full size)."""
-    hand = Hand(Follower("me", ["one", "two"], filled([]), P(1, 1)))
+    hand = ScriptedPeer(Follower("me", ["one", "two"], filled([]), P(1, 1)))
     hand.do(TimeCame())
     hand.do(Connected(-1))
     hand.hear(-1, Welcome(VERSION, "it", P(1, 1)), Beat(P(1, 1), 0))
     for number in range(2, 62):
         row = put("a", b"%d" % number)
-        digest = whole(summed(hand.machine.store, as_changes([row])))
+        digest = total_digest(updated_sums(hand.machine.store, as_changes([row])))
         hand.hear(-1, Delta(P(1, number - 1), P(1, number), digest, (row,), False))
         hand.hear(-1, Beat(P(1, number + 5), number * 1_000))
         hand.wait(1_000)
@@ -82,7 +82,7 @@
 
 
 def test_all_come_to_the_last_of_many_without_ranges_though_some_change_relays_meanwhile():
-    world = World(7)
+    world = ControlNetwork(7)
     world.publisher()
     world.operator("p")
     for number in range(3):
--- a/tests/test_control_bytes.py
+++ b/tests/test_control_bytes.py
@@ -26,7 +26,7 @@
     Welcome,
     pack,
 )
-from oakfork.sockets.configuration import address
+from oakfork.sockets.configuration import parse_address
 
 
 def frames(chance):
@@ -61,7 +61,7 @@
 
     async def throw(place):
         try:
-            stream = await trio.open_tcp_stream(*address(place))
+            stream = await trio.open_tcp_stream(*parse_address(place))
             async with stream:
                 data = b"".join(frames(chance) for _ in range(chance.randrange(1, 4)))
                 match chance.randrange(6):
@@ -90,7 +90,7 @@
         for _ in range(60):
             await throw(chance.choice((it.publisher_at, it.relays_at[0])))
         for place in (it.publisher_at, it.relays_at[0]):
-            async with await trio.open_tcp_stream(*address(place)) as stream:  # ended by the other side, at once
+            async with await trio.open_tcp_stream(*parse_address(place)) as stream:  # ended by the other side, at once
                 await stream.send_all(framed(b"\xc1"))
                 with trio.fail_after(WAIT):
                     while await stream.receive_some():
@@ -109,7 +109,7 @@
     async def work(it):
         position = await it.publish(trial.EXAMPLE)
         await it.everywhere(position)
-        async with await trio.open_tcp_stream(*address(it.publisher_at)) as stream:
+        async with await trio.open_tcp_stream(*parse_address(it.publisher_at)) as stream:
             await stream.send_all(framed(pack(Hello(VERSION, "x", False, Position(7, 1), 5))))
             with trio.fail_after(WAIT):
                 while await stream.receive_some():
--- a/tests/test_control_change_schema.py
+++ b/tests/test_control_change_schema.py
@@ -13,7 +13,7 @@
 from oakfork import configuration_schema as configuration_format
 from oakfork.control import change_schema, config as files, connections, records
 from oakfork.control.messages import Kind, Row, Verdict, pack, unpack_down
-from oakfork.control.state import Records, as_changes, summed
+from oakfork.control.state import Records, as_changes, updated_sums
 from oakfork.errors import ChangeSetError, ControlConfigError
 
 SERVICE = {
@@ -51,14 +51,14 @@
 
 def in_force(store, rows, index=None):
     changes = as_changes(rows)
-    store.commit(changes, summed(store, changes))
+    store.commit(changes, updated_sums(store, changes))
     if index is not None:
         index.in_force(changes)
 
 
 def a_store():
     store = Records()
-    index = change_schema.Index(store)
+    index = change_schema.StateIndex(store)
     in_force(store, rows_of(CHANGE), index)
     return store, index
 
@@ -84,7 +84,7 @@
 
 @pytest.mark.parametrize("text", ["10.0.0.1:80", "server.example.org:1", "010.0.0.1:80", "10.0.0.1:080", "a:65535"])
 def test_an_address_is_told_as_it_was_given(text):
-    assert records.told_address(records.packed_address(text)) == text
+    assert records.unpack_address(records.pack_address(text)) == text
 
 
 def test_a_change_file_goes_by_zlib_where_that_is_shorter():
@@ -263,14 +263,14 @@
         rows = rows_of(change)
         assert index.contradictions(rows) == []
         in_force(store, rows, index)
-        anew = change_schema.Index(store)
+        anew = change_schema.StateIndex(store)
         assert (index.known, index.users, index.at) == (anew.known, anew.users, anew.at)
 
 
 def test_a_record_that_is_not_readable_breaks_no_index():
     store = Records()
     in_force(store, [Row(Kind.SERVER, "x", b"\xc1"), Row(Kind.ROUTE, "y", b"")])
-    assert not change_schema.Index(store).known
+    assert not change_schema.StateIndex(store).known
 
 
 @pytest.mark.parametrize("name, read", [("publisher", files.read_publisher), ("relay", files.read_relay)])
--- a/tests/test_control_circles.py
+++ b/tests/test_control_circles.py
@@ -1,8 +1,8 @@
 """Relays whose upstreams lead round: each finds by a Beat's way that it follows itself, and turns to another."""
 
 import pytest
-from control_network import World, put
-from control_peer import Hand, follows
+from control_network import ControlNetwork, put
+from control_peer import ScriptedPeer, follows
 
 from oakfork.control.events import Connected, TimeCame
 from oakfork.control.messages import BEAT, MOST_WAY, VERSION, Beat, Position, Welcome
@@ -13,7 +13,7 @@
 
 
 def relay(**more):
-    hand = Hand(Relay("r", ["p", "q"], Records(), **more))
+    hand = ScriptedPeer(Relay("r", ["p", "q"], Records(), **more))
     hand.do(TimeCame())
     hand.do(Connected(hand.connects[-1][1]))
     hand.hear(hand.connects[-1][1], Welcome(VERSION, "p", P()))
@@ -48,7 +48,7 @@
 @pytest.mark.parametrize("around", (2, 3, 7))
 @pytest.mark.parametrize("seed", range(1, 9))
 def test_relays_in_a_ring_are_back_within_seconds_when_the_publisher_starts_anew(seed, around):
-    world = World(seed)
+    world = ControlNetwork(seed)
     world.publisher("p")
     world.operator("p")
     for number in range(around):
--- a/tests/test_control_connections.py
+++ b/tests/test_control_connections.py
@@ -9,7 +9,7 @@
 import trio.testing
 
 from oakfork.control import connections
-from oakfork.control.connections import Link, framed
+from oakfork.control.connections import FrameConnection, framed
 
 WAIT = 25  # seconds; nothing waits so long unless it is broken
 
@@ -25,7 +25,9 @@
 
     async def main():
         ours, theirs = socket.socketpair()
-        link = Link(trio.SocketStream(trio.socket.from_stdlib_socket(ours)), bounds.get("FIRST", connections.FIRST))
+        link = FrameConnection(
+            trio.SocketStream(trio.socket.from_stdlib_socket(ours)), bounds.get("FIRST", connections.FIRST)
+        )
         async with trio.SocketStream(trio.socket.from_stdlib_socket(theirs)) as other, trio.open_nursery() as nursery:
             nursery.start_soon(act, link, other)
             with trio.fail_after(WAIT):
--- a/tests/test_control_database.py
+++ b/tests/test_control_database.py
@@ -13,7 +13,7 @@
 from oakfork.control import database as stores
 from oakfork.control.database import Database
 from oakfork.control.messages import Kind, Position, Row
-from oakfork.control.state import Records, as_changes, summed, whole
+from oakfork.control.state import Records, as_changes, total_digest, updated_sums
 from oakfork.errors import DatabaseError
 
 CHILD = """
@@ -32,7 +32,7 @@
     database.commit(Position(term, number), f"set {number}", rows, whole(sums))
     records.commit(changes, sums)
     print(number, flush=True)
-    database.fold()
+    database.compact()
 """
 
 
@@ -52,7 +52,7 @@
             sums = summed(records, changes)
             database.commit(Position(term, number), f"set {number}", rows, whole(sums))
             records.commit(changes, sums)
-            database.fold()
+            database.compact()
     except DatabaseError as error:
         ended.append(str(error))
 
@@ -83,8 +83,8 @@
     def commit(self, rows, id=None):
         self.number += 1
         changes = as_changes(rows)
-        sums = summed(self.records, changes)
-        self.database.commit(Position(self.term, self.number), id or f"set {self.number}", rows, whole(sums))
+        sums = updated_sums(self.records, changes)
+        self.database.commit(Position(self.term, self.number), id or f"set {self.number}", rows, total_digest(sums))
         self.records.commit(changes, sums)
 
 
@@ -107,7 +107,7 @@
         (Position(0, 0), Position(1, 1), "one", 2),
         (Position(1, 1), Position(1, 2), "two", 2),
     ]
-    assert loaded.entries[-1].digest == whole(loaded.records.sums)
+    assert loaded.entries[-1].digest == total_digest(loaded.records.sums)
     assert second.database.begin_term(above=9) == 10 == second.database.term
     second.database.close()
 
@@ -117,7 +117,7 @@
     for _ in range(60):
         names = chance.sample([f"t{number}" for number in range(12)], 3)
         publisher.commit([Row(Kind.TENANT, name, chance.choice((None, chance.randbytes(5)))) for name in names])
-        while publisher.database.fold():
+        while publisher.database.compact():
             pass
     publisher.database.close()
     loaded = Database(tmp_path / "db").loaded
@@ -131,7 +131,7 @@
     publisher = Publisher(tmp_path / "db")
     for number in range(5):
         publisher.commit(put(*(f"{number}-{part}" for part in range(4))))
-        while publisher.database.fold():
+        while publisher.database.compact():
             pass
     publisher.database.close()
     loaded = Database(tmp_path / "db").loaded
@@ -141,7 +141,7 @@
 def test_a_commit_again_after_an_error_is_there_once_and_an_older_one_is_refused(tmp_path):
     publisher = Publisher(tmp_path / "db")
     publisher.commit(put("a"), "one")
-    publisher.database.commit(Position(1, 1), "one", put("a"), whole(publisher.records.sums))
+    publisher.database.commit(Position(1, 1), "one", put("a"), total_digest(publisher.records.sums))
     for position in (Position(1, 1), Position(0, 7)):
         with pytest.raises(DatabaseError):
             publisher.database.commit(position, "two", put("b"), 0)
@@ -154,7 +154,7 @@
     publisher = Publisher(tmp_path / "db", most_log=2)
     for name in "abcd":
         publisher.commit(put(name), name)
-        while publisher.database.fold():
+        while publisher.database.compact():
             pass
     database = publisher.database
     with pytest.raises(DatabaseError, match="not the last"):
@@ -215,7 +215,7 @@
     publisher = Publisher(path, most_log=3)
     for number in range(8):
         publisher.commit(put(*(f"{number}-{part}" for part in range(20)), value=bytes(range(100))))
-        publisher.database.fold()
+        publisher.database.compact()
     publisher.database.close()
     return path.read_bytes(), state(publisher.records)
 
@@ -306,4 +306,4 @@
 
 def test_an_empty_state_has_an_empty_snapshot(tmp_path):
     loaded = Database(tmp_path / "db").loaded
-    assert state(loaded.records) == {} and loaded.position == Position() and whole(Records().sums) == 0
+    assert state(loaded.records) == {} and loaded.position == Position() and total_digest(Records().sums) == 0
--- a/tests/test_control_follower.py
+++ b/tests/test_control_follower.py
@@ -39,7 +39,7 @@
     unpack_up,
 )
 from oakfork.control.staging import SLICE
-from oakfork.control.state import Records, as_changes, range_of, summed, whole
+from oakfork.control.state import Records, as_changes, range_of, total_digest, updated_sums
 
 P = Position
 
@@ -95,7 +95,7 @@
 
 
 def digest(store, *rows):
-    return whole(summed(store, as_changes(rows)))
+    return total_digest(updated_sums(store, as_changes(rows)))
 
 
 def delta(hand, after, position, *rows, more=False, told=None):
@@ -104,9 +104,9 @@
 
 def test_it_says_what_it_has_and_takes_a_delta_that_follows():
     hand = Hand([put("a", b"1")], P(1, 4)).up(P(1, 5))
-    assert hand.said == [Hello(VERSION, "me", False, P(1, 4), whole(hand.store.sums))]
+    assert hand.said == [Hello(VERSION, "me", False, P(1, 4), total_digest(hand.store.sums))]
     hand.hear(delta(hand, P(1, 4), P(1, 5), put("a", b"2"), put("b", b"3")))
-    assert hand.said[1:] == [Ack(P(1, 5), whole(hand.store.sums))] and hand.machine.position == P(1, 5)
+    assert hand.said[1:] == [Ack(P(1, 5), total_digest(hand.store.sums))] and hand.machine.position == P(1, 5)
     assert hand.forces == [InForce(P(1, 4), P(1, 5), {(Kind.SERVER, "a"): b"2", (Kind.SERVER, "b"): b"3"})]
     assert (hand.store.value(Kind.SERVER, "a"), hand.store.value(Kind.SERVER, "b")) == (b"2", b"3")
 
@@ -155,7 +155,7 @@
 
 def test_a_differing_digest_is_asked_about_and_a_second_one_turns_it_away():
     hand = Hand([put("a", b"1")], P(1, 4)).up(P(1, 5))
-    right = whole(hand.store.sums)
+    right = total_digest(hand.store.sums)
     for times in range(1, FAILURES + 1):
         hand.hear(delta(hand, P(1, 4), P(1, 5), put("a", b"2"), told=99))
         assert hand.store.value(Kind.SERVER, "a") == b"1" and not hand.forces
@@ -200,12 +200,12 @@
     for number in numbers:
         hand.hear(Range(number, rows[number], False))
     changes = {(Kind.SERVER, "s0"): b"y"}
-    other.commit(changes, summed(other, changes))
+    other.commit(changes, updated_sums(other, changes))
     hand.hear(Digests(P(1, 9), tuple(other.sums)))
     assert hand.said[-1] == Want((range_of(Kind.SERVER, "s0"),))
     hand.hear(
         Range(range_of(Kind.SERVER, "s0"), (put("s0", b"y"),), False),
-        Delta(P(1, 9), P(1, 9), whole(other.sums), (), False),
+        Delta(P(1, 9), P(1, 9), total_digest(other.sums), (), False),
     )
     assert hand.machine.position == P(1, 9) and hand.store.sums == other.sums
 
@@ -215,7 +215,7 @@
     hand.hear(
         Digests(P(1, 4), tuple(other.sums)),
         Range(range_of(Kind.SERVER, "a"), (put("a", b"good"),), False),
-        Delta(P(1, 4), P(1, 4), whole(other.sums), (), False),
+        Delta(P(1, 4), P(1, 4), total_digest(other.sums), (), False),
     )
     assert hand.forces == [InForce(P(1, 4), P(1, 4), {(Kind.SERVER, "a"): b"good"})]
 
@@ -412,7 +412,7 @@
             self.inner = Records()
 
         def __getattr__(self, name):
-            assert name in ("sums", "value", "digest_of", "names", "commit", "fold")
+            assert name in ("sums", "value", "digest_of", "names", "commit", "compact")
             return getattr(self.inner, name)
 
     hand = Hand()
--- a/tests/test_control_follower_server.py
+++ b/tests/test_control_follower_server.py
@@ -2,11 +2,11 @@
 
 import msgspec
 from control_network import put
-from control_peer import Hand, P, follows, goes_on, served
+from control_peer import P, ScriptedPeer, follows, goes_on, served
 
 from oakfork.control import encoded_frames, follower_server as feeding
 from oakfork.control.events import UNKNOWN, Connected, Left, Lost
-from oakfork.control.follower_server import NAMELESS, SLOW, Feeder
+from oakfork.control.follower_server import NAMELESS, SLOW, FollowerServer
 from oakfork.control.messages import (
     BEAT,
     VERSION,
@@ -23,7 +23,7 @@
     Want,
     Welcome,
 )
-from oakfork.control.state import Records, as_changes, range_of, whole
+from oakfork.control.state import Records, as_changes, range_of, total_digest
 
 # The feeder
 
@@ -33,7 +33,7 @@
     follows(hand, 1)
     assert hand.new(1) == [Welcome(VERSION, "it", P(1, 4)), Beat(P(1, 4), 7)]
     goes_on(hand, put("a", b"2"))
-    digest = whole(hand.machine.store.sums)
+    digest = total_digest(hand.machine.store.sums)
     assert hand.new(1) == [Delta(P(1, 4), P(1, 5), digest, (put("a", b"2"),), False)]
     goes_on(hand, put("a", b"3"), put("b", b"1"))
     goes_on(hand, put("a", b"4"))
@@ -52,7 +52,7 @@
     hand.new(1)
     hand.wait(3 * BEAT)
     assert hand.new(1) == [Beat(P(1, 5), 7)] * 3 and hand.last(2) == Beat(P(1, 5), 7)
-    hand = Hand(Feeder("it", Records(), P(), lambda now: None))
+    hand = ScriptedPeer(FollowerServer("it", Records(), P(), lambda now: None))
     follows(hand, 1)
     assert hand.last(1) == Beat(P(), UNKNOWN)
 
@@ -68,8 +68,8 @@
         goes_on(hand, put("c", b"3"))
         assert hand.new(1) == []
         hand.hear(1, Ack(position, 5))
-        assert hand.new(1) == [Delta(P(1, 4), P(1, 5), whole(hand.machine.store.sums), (put("c", b"3"),), False)]
-        hand.hear(1, Ack(P(1, 5), whole(hand.machine.store.sums)))
+        assert hand.new(1) == [Delta(P(1, 4), P(1, 5), total_digest(hand.machine.store.sums), (put("c", b"3"),), False)]
+        hand.hear(1, Ack(P(1, 5), total_digest(hand.machine.store.sums)))
         assert hand.new(1) == []
 
 
@@ -77,7 +77,7 @@
     hand = served([put("a", b"1")])
     follows(hand, 1, position=P(1, 2))
     hand.hear(1, Want(()))
-    assert hand.last(1) == Delta(P(1, 4), P(1, 4), whole(hand.machine.store.sums), (), False)
+    assert hand.last(1) == Delta(P(1, 4), P(1, 4), total_digest(hand.machine.store.sums), (), False)
 
 
 def test_where_the_history_is_too_short_in_the_end_digests_are_told_again():
@@ -103,7 +103,7 @@
         if more:
             hand.hear(1, Ack(P(1, 4), 0))
     assert not hand.machine.held
-    hand.hear(1, Ack(P(1, 5), whole(hand.machine.store.sums)))
+    hand.hear(1, Ack(P(1, 5), total_digest(hand.machine.store.sums)))
     assert hand.new(1) == []
 
 
@@ -132,10 +132,10 @@
     assert len(hand.new(1)) == 2 and not hand.closed
     follows(hand, 2, position=P(3, 1), digest=5)
     assert hand.last(2) == Goodbye("older term", P(2, 4)) and hand.closed == {2: "older term"}
-    assert hand.machine.higher == 3 and 2 not in hand.machine.roster.links
+    assert hand.machine.higher == 3 and 2 not in hand.machine.registry.links
     hand.hear(1, Ack(P(3, 9), 5))
     assert hand.closed[1] == "older term"
-    hand = Hand(Feeder("it", Records(), P(), lambda now: None))
+    hand = ScriptedPeer(FollowerServer("it", Records(), P(), lambda now: None))
     follows(hand, 1, position=P(3, 1), digest=5)  # this one has nothing yet
     assert not hand.closed and not hand.machine.higher
 
@@ -154,7 +154,7 @@
         follows(hand, 1, who="g")
         hand.hear(1, told)
         assert hand.closed == {1: reason} and hand.last(1) == Goodbye(goodbye, P(1, 4)) and reason in hand.notes
-        assert not hand.machine.links and not hand.machine.roster.links
+        assert not hand.machine.links and not hand.machine.registry.links
     hand = served()
     for link, told, reason in ((1, Ack(P(), 0), "out of turn"), (2, Hello(9, "g", False, P(), 0), "version")):
         hand.do(Connected(link))
@@ -174,7 +174,7 @@
     hand.wait(SLOW - NAMELESS - 2 * BEAT)
     assert 2 not in hand.closed
     hand.wait(2 * BEAT)
-    assert hand.closed[2] == "slow" and hand.machine.roster.gone
+    assert hand.closed[2] == "slow" and hand.machine.registry.gone
     assert hand.machine.beat_at is None  # nobody is left
 
 
--- a/tests/test_control_gateway.py
+++ b/tests/test_control_gateway.py
@@ -8,7 +8,7 @@
 
 import tomli_w
 import trio
-from fake_services import StandIn, echo, entry, free_port, rpc, started, told, until
+from fake_services import FakeService, echo, entry, free_port, rpc, started, told, until
 from lab_worlds import ROOT
 
 from oakfork.control import client, trial
@@ -46,7 +46,7 @@
 
 
 def test_a_gateway_sends_to_the_servers_that_the_publisher_says(tmp_path):
-    stand_ins = [StandIn(echo) for _ in range(4)]
+    stand_ins = [FakeService(echo) for _ in range(4)]
     known, first, second, other = (party.address for party in stand_ins)
 
     def went_to():
--- a/tests/test_control_home.py
+++ b/tests/test_control_home.py
@@ -2,7 +2,7 @@
 
 from collections import Counter
 
-from control_network import World, put
+from control_network import ControlNetwork, put
 
 from oakfork.control.follower import HOME, LONGEST_HOME, Phase
 
@@ -21,7 +21,7 @@
 
 def tier(seed, relays=4, each=3):
     """Relays before one publisher, each also another way; gateways with a relay of their own and another one."""
-    world = World(seed)
+    world = ControlNetwork(seed)
     world.publisher()
     world.operator("p")
     for number in range(relays):
@@ -95,7 +95,7 @@
 
 
 def test_a_first_relay_that_has_not_heard_of_the_publisher_is_left_at_once():
-    world = World(3)
+    world = ControlNetwork(3)
     world.publisher()
     world.operator("p")
     world.relay("apart", 1, ["p"])
@@ -116,7 +116,7 @@
 
 
 def test_with_one_relay_there_is_no_other_home():
-    world = World(4)
+    world = ControlNetwork(4)
     world.publisher()
     world.operator("p")
     world.follower("g", 0, ["p"])
--- a/tests/test_control_machines.py
+++ b/tests/test_control_machines.py
@@ -4,7 +4,7 @@
 
 import pytest
 from control_fleets import SETTLED, fleet, gateways, short_histories, some_rows, status
-from control_network import Disk, World, put
+from control_network import ControlNetwork, Disk, put
 
 from oakfork.control.follower import HOME, LONGEST_HOME
 from oakfork.control.messages import Kind, Position
@@ -125,7 +125,7 @@
 
 
 def test_many_come_cold_and_are_served_at_the_pace_by_turns():
-    world = World(3)
+    world = ControlNetwork(3)
     world.publisher()
     world.relay("r", 0, ["p"], egress=20_000)
     world.operator("p")
--- a/tests/test_control_publisher.py
+++ b/tests/test_control_publisher.py
@@ -3,12 +3,12 @@
 import msgspec
 import pytest
 from control_network import contradictions, parse, put
-from control_peer import Hand, P, follows
+from control_peer import P, ScriptedPeer, follows
 from control_verifier import filled
 
 from oakfork.control import follower_registry as rosters
 from oakfork.control.events import UNKNOWN, Connected, Lost, NotStored, NotUnkept, Stored, TimeCame, Unkept
-from oakfork.control.follower_registry import FORGOTTEN, Roster
+from oakfork.control.follower_registry import FORGOTTEN, FollowerRegistry
 from oakfork.control.follower_server import NAMELESS
 from oakfork.control.messages import (
     BEAT,
@@ -26,21 +26,21 @@
     Verdict,
     Welcome,
 )
-from oakfork.control.other_publishers import ASK, Others
+from oakfork.control.other_publishers import ASK, OtherPublishers
 from oakfork.control.publisher import ASKERS, QUEUED, Publisher
 from oakfork.control.relay import REPORT, Relay
-from oakfork.control.state import Records, whole
+from oakfork.control.state import Records, total_digest
 from oakfork.errors import DatabaseError
 
 # The publisher
 
 
 def publisher(stored=EMPTY, term=1, store=None, **more):
-    return Hand(Publisher("p", term, stored, store or Records(), parse, contradictions, **more))
+    return ScriptedPeer(Publisher("p", term, stored, store or Records(), parse, contradictions, **more))
 
 
 def submit(hand, link, id, *rows):
-    if link not in hand.machine.feeder.links:
+    if link not in hand.machine.follower_server.links:
         hand.do(Connected(link))
     hand.hear(link, Submit(id, msgspec.msgpack.encode(rows)))
 
@@ -55,7 +55,7 @@
     assert hand.machine.position == P(1, 0) and not hand.said and hand.machine.store.value(Kind.SERVER, "a") is None
     hand.do(Stored(1))
     assert hand.new(1) == [Verdict("one", P(1, 1), ())] and hand.machine.store.value(Kind.SERVER, "a") == b"1"
-    assert whole(hand.machine.store.sums) == keep.digest
+    assert total_digest(hand.machine.store.sums) == keep.digest
     assert hand.new(9) == [Delta(P(1, 0), P(1, 1), keep.digest, (put("a", b"1"),), False)]
     hand.do(Stored(1))  # said twice
     assert hand.machine.position == P(1, 1) and not hand.said
@@ -178,7 +178,7 @@
 
 
 def test_other_publishers_are_asked_for_their_term_time_and_again():
-    hand = Hand(Others(("q", "r")))
+    hand = ScriptedPeer(OtherPublishers(("q", "r")))
     hand.do(TimeCame())
     assert hand.connects == [("q", -1), ("r", -2)]
     hand.do(Connected(-1))
@@ -198,83 +198,85 @@
 
 
 def test_everywhere_is_what_all_have_and_a_relay_counts_when_it_has_reported():
-    roster = Roster()
-    assert roster.everywhere(P(1, 5)) == P(1, 5)
-    roster.came(0, 1, "g1", False, P(1, 4))
-    roster.came(0, 2, "r", True, P(1, 5))
-    assert roster.everywhere(P(1, 5)) == P()
-    roster.reported(0, 2, Report(("g2",), (), P(1, 3), (Behind("g2", P(1, 3), 50),), 0))
-    assert roster.everywhere(P(1, 5)) == P(1, 3)
-    roster.acked(1, P(1, 5))
-    roster.reported(0, 2, Report((), (), P(1, 5), (), 0))
-    assert roster.everywhere(P(1, 5)) == P(1, 5) and set(roster.names) == {"g1", "r", "g2"}
+    registry = FollowerRegistry()
+    assert registry.everywhere(P(1, 5)) == P(1, 5)
+    registry.came(0, 1, "g1", False, P(1, 4))
+    registry.came(0, 2, "r", True, P(1, 5))
+    assert registry.everywhere(P(1, 5)) == P()
+    registry.reported(0, 2, Report(("g2",), (), P(1, 3), (Behind("g2", P(1, 3), 50),), 0))
+    assert registry.everywhere(P(1, 5)) == P(1, 3)
+    registry.acked(1, P(1, 5))
+    registry.reported(0, 2, Report((), (), P(1, 5), (), 0))
+    assert registry.everywhere(P(1, 5)) == P(1, 5) and set(registry.names) == {"g1", "r", "g2"}
 
 
 def test_those_behind_are_named_the_worst_first_and_since_when():
-    roster = Roster()
+    registry = FollowerRegistry()
     for number, at in ((1, 100), (2, 200), (3, 300)):
-        roster.in_force(at, P(1, number))
-    roster.came(0, 1, "g1", False, P(1, 2))
-    roster.came(0, 2, "g2", False, P(1, 1))
-    roster.came(0, 3, "r", True, P(1, 3))
-    roster.reported(1_000, 3, Report(("g3", "g4"), (), P(1, 0), (Behind("g3", P(1, 0), 40),), 5))
-    named, others = roster.behind(1_100, P(1, 3))
+        registry.in_force(at, P(1, number))
+    registry.came(0, 1, "g1", False, P(1, 2))
+    registry.came(0, 2, "g2", False, P(1, 1))
+    registry.came(0, 3, "r", True, P(1, 3))
+    registry.reported(1_000, 3, Report(("g3", "g4"), (), P(1, 0), (Behind("g3", P(1, 0), 40),), 5))
+    named, others = registry.behind(1_100, P(1, 3))
     assert named == [Behind("g3", P(1, 0), 140), Behind("g2", P(1, 1), 900), Behind("g1", P(1, 2), 800)]
     assert others == 5
-    assert roster.behind(1_100, P(1, 3), 1) == ([Behind("g3", P(1, 0), 140)], 7)
-    roster.in_force(1_200, P(1, 4))  # the relay is behind itself, and so all below it
-    named, others = roster.behind(1_300, P(1, 4))
+    assert registry.behind(1_100, P(1, 3), 1) == ([Behind("g3", P(1, 0), 140)], 7)
+    registry.in_force(1_200, P(1, 4))  # the relay is behind itself, and so all below it
+    named, others = registry.behind(1_300, P(1, 4))
     assert {one.who for one in named} == {"g1", "g2", "g3", "g4", "r"} and others == 0
 
 
 def test_one_that_moves_is_not_gone_and_one_that_left_is_until_it_is_forgotten():
-    roster = Roster()
-    roster.came(0, 1, "r1", True, P())
-    roster.came(0, 2, "r2", True, P())
-    roster.reported(0, 1, Report(("g",), (), P(), (), 0))
-    roster.reported(0, 2, Report(("g",), (), P(), (), 0))  # there already, before it is known to have left
-    roster.reported(0, 1, Report((), ("g",), P(), (), 0))
-    assert "g" in roster.names and not roster.gone
-    roster.lost(50, 2)
-    assert set(roster.names) == {"r1"} and set(roster.gone) == {"r2", "g"} and roster.gone["g"] == (50, "r2")
-    roster.came(FORGOTTEN + 50, 3, "g", False, P())
-    assert not roster.gone
+    registry = FollowerRegistry()
+    registry.came(0, 1, "r1", True, P())
+    registry.came(0, 2, "r2", True, P())
+    registry.reported(0, 1, Report(("g",), (), P(), (), 0))
+    registry.reported(0, 2, Report(("g",), (), P(), (), 0))  # there already, before it is known to have left
+    registry.reported(0, 1, Report((), ("g",), P(), (), 0))
+    assert "g" in registry.names and not registry.gone
+    registry.lost(50, 2)
+    assert set(registry.names) == {"r1"} and set(registry.gone) == {"r2", "g"} and registry.gone["g"] == (50, "r2")
+    registry.came(FORGOTTEN + 50, 3, "g", False, P())
+    assert not registry.gone
 
 
 def test_names_are_bounded_and_the_one_gone_for_the_longest_goes_first(monkeypatch):
     monkeypatch.setattr(rosters, "MOST_NAMES", 4)
-    roster = Roster()
+    registry = FollowerRegistry()
     for link in range(1, 5):
-        roster.came(0, link, f"g{link}", False, P())
-    roster.lost(1, 2)
-    roster.lost(2, 1)
-    roster.came(3, 5, "g5", False, P())
-    assert set(roster.gone) == {"g1"} and set(roster.names) == {"g3", "g4", "g5"}
-    roster.came(4, 6, "g6", False, P())
-    roster.came(4, 7, "g7", False, P())
-    assert not roster.gone and set(roster.names) == {"g3", "g4", "g5", "g6"} and roster.left_out == 1
-    roster.lost(5, 7)
-    roster.lost(5, 6)
-    assert roster.everywhere(P(1, 1)) == P() and set(roster.gone) == {"g6"}
+        registry.came(0, link, f"g{link}", False, P())
+    registry.lost(1, 2)
+    registry.lost(2, 1)
+    registry.came(3, 5, "g5", False, P())
+    assert set(registry.gone) == {"g1"} and set(registry.names) == {"g3", "g4", "g5"}
+    registry.came(4, 6, "g6", False, P())
+    registry.came(4, 7, "g7", False, P())
+    assert not registry.gone and set(registry.names) == {"g3", "g4", "g5", "g6"} and registry.left_out == 1
+    registry.lost(5, 7)
+    registry.lost(5, 6)
+    assert registry.everywhere(P(1, 1)) == P() and set(registry.gone) == {"g6"}
 
 
 def test_reports_tell_names_in_parts_and_what_changed_since(monkeypatch):
     monkeypatch.setattr(rosters, "REPORTED", 3)
-    roster = Roster()
+    registry = FollowerRegistry()
     for link in range(1, 8):
-        roster.came(0, link, f"g{link}", False, P(1, 1))
+        registry.came(0, link, f"g{link}", False, P(1, 1))
     told = []
-    while roster.changed:
-        told.append(roster.report(0, P(1, 1)))
+    while registry.changed:
+        told.append(registry.report(0, P(1, 1)))
     assert [len(each.came) for each in told] == [3, 3, 1] and {each.lowest for each in told} == {P(1, 1)}
-    roster.lost(0, 1)
-    assert roster.report(0, P(1, 1)).went == ("g1",)
-    roster.afresh()
-    assert set(roster.report(0, P(1, 1)).came + roster.report(0, P(1, 1)).came) == {f"g{link}" for link in range(2, 8)}
+    registry.lost(0, 1)
+    assert registry.report(0, P(1, 1)).went == ("g1",)
+    registry.afresh()
+    assert set(registry.report(0, P(1, 1)).came + registry.report(0, P(1, 1)).came) == {
+        f"g{link}" for link in range(2, 8)
+    }
 
 
 def test_a_relay_reports_at_once_then_once_a_second_and_only_what_changed():
-    hand = Hand(Relay("r", ["p"], Records()))
+    hand = ScriptedPeer(Relay("r", ["p"], Records()))
     hand.do(TimeCame())
     link = hand.connects[-1][1]
     hand.do(Connected(link))
@@ -295,7 +297,7 @@
 
 
 def test_a_relay_passes_beats_on_and_says_its_own_where_none_come():
-    hand = Hand(Relay("r", ["p"], Records()))
+    hand = ScriptedPeer(Relay("r", ["p"], Records()))
     hand.do(TimeCame())
     link = hand.connects[-1][1]
     hand.do(Connected(link))
--- a/tests/test_control_recall.py
+++ b/tests/test_control_recall.py
@@ -4,7 +4,7 @@
 
 import pytest
 from control_network import put
-from control_peer import Hand, P, follows, goes_on, served
+from control_peer import P, ScriptedPeer, follows, goes_on, served
 from hypothesis import given, settings, strategies as st
 
 from oakfork.control.events import Connected, Lost, TimeCame
@@ -32,7 +32,7 @@
     unpack_down,
 )
 from oakfork.control.relay import Relay
-from oakfork.control.state import Records, range_of, whole
+from oakfork.control.state import Records, range_of, total_digest
 
 _links = itertools.count(1_000)
 ROWS = [put(f"s{number}", b"1") for number in range(40)]
@@ -49,7 +49,7 @@
 def anew(up, until=None):
     """A relay that begins with nothing and follows `up`, as far as it gets; `until`: the first message that is held
     back from it."""
-    relay = Hand(Relay("r", ["up"], Records()))
+    relay = ScriptedPeer(Relay("r", ["up"], Records()))
     relay.do(TimeCame())
     return relay, passes(up, relay, until)
 
@@ -92,7 +92,7 @@
 
 def test_one_that_was_there_before_the_relay_had_its_state_waits_for_what_led_to_it():
     up = publisher()
-    relay = Hand(Relay("r", ["up"], Records()))
+    relay = ScriptedPeer(Relay("r", ["up"], Records()))
     relay.do(TimeCame())
     relay.do(Connected(1))
     position, digest = at(up, 3)
@@ -130,7 +130,7 @@
     relay.wait(2 * BEAT)
     passes(up, relay)
     assert relay.connects[-1][1] != there
-    assert relay.machine.feeder.history.knows(at(up, 9)[0])
+    assert relay.machine.follower_server.history.knows(at(up, 9)[0])
 
 
 def test_it_comes_in_parts_the_latest_first_and_no_further_than_there_is_room():
@@ -138,8 +138,10 @@
     for number in range(2 * PAST_STEPS + 9):
         goes_on(up, put("s0", b"%d" % number))
     relay, _ = anew(up)
-    assert relay.machine.feeder.history.oldest == up.machine.history.oldest and not relay.machine.recalling
-    assert whole(relay.machine.store.sums) == relay.machine.feeder.history.digest(relay.machine.position)
+    assert relay.machine.follower_server.history.oldest == up.machine.history.oldest and not relay.machine.recalling
+    assert total_digest(relay.machine.store.sums) == relay.machine.follower_server.history.digest(
+        relay.machine.position
+    )
     small = History(P(1, 9), 7, most_rows=3, most_sets=3)
     keys = (Kind.SERVER, "a"), (Kind.SERVER, "b")
     steps = tuple(Before(P(1, number), number, keys) for number in (8, 7, 6))
@@ -163,9 +165,9 @@
 def test_what_can_not_have_led_there_is_not_taken(steps):
     up = publisher()
     relay, [_] = anew(up, Past)
-    before = list(relay.machine.feeder.history.sets)
+    before = list(relay.machine.follower_server.history.sets)
     relay.hear(relay.connects[-1][1], Past(up.machine.position, steps))
-    assert list(relay.machine.feeder.history.sets) == before and not relay.machine.recalling
+    assert list(relay.machine.follower_server.history.sets) == before and not relay.machine.recalling
 
 
 def test_what_was_not_asked_for_is_dropped_and_counted():
@@ -173,7 +175,7 @@
     relay, [held] = anew(up, Past)
     there = relay.connects[-1][1]
     relay.hear(there, Past(P(7, 7), held.steps))  # of another position: not the answer
-    assert not relay.machine.feeder.history.knows(at(up, 3)[0])
+    assert not relay.machine.follower_server.history.knows(at(up, 3)[0])
     relay.hear(there, held)
     assert relay.notes.count("stale") == 1 and there not in relay.closed
     gateway = served()
@@ -203,7 +205,7 @@
     there = relay.connects[-1][1]
     relay.new(there)
     machine = relay.machine
-    machine.store.fold()
+    machine.store.compact()
     machine.store.records[Kind.SERVER]["s1"] = b"damaged"
     machine.store.sums[range_of(Kind.SERVER, "s1")] ^= 1
     relay.hear(there, Digests(up.machine.position, tuple(up.machine.store.sums)))
@@ -213,7 +215,7 @@
     follows(up, link, position=P(1, 1))
     up.hear(link, Want((number,)))
     relay.hear(there, up.last(link))
-    relay.hear(there, Delta(up.machine.position, up.machine.position, whole(up.machine.store.sums), (), False))
+    relay.hear(there, Delta(up.machine.position, up.machine.position, total_digest(up.machine.store.sums), (), False))
     assert Recall(up.machine.position) in relay.new(there)
 
 
@@ -231,7 +233,7 @@
     up = served(ROWS[:6], egress=10**12)
     kept = []
     for changes in sets:
-        kept.append((up.machine.position, whole(up.machine.store.sums), values(up.machine.store)))
+        kept.append((up.machine.position, total_digest(up.machine.store.sums), values(up.machine.store)))
         goes_on(up, *(put(f"s{key}", None if value is None else b"%d" % value) for key, value in changes))
     relay, _ = anew(up)
     position, digest, state = kept[back % len(kept)]
@@ -245,7 +247,7 @@
         state.pop((row.kind, row.name), None)
         if row.value is not None:
             state[row.kind, row.name] = row.value
-    assert state == values(up.machine.store) and told.digest == whole(up.machine.store.sums)
+    assert state == values(up.machine.store) and told.digest == total_digest(up.machine.store.sums)
 
 
 def values(store):
--- a/tests/test_control_scale.py
+++ b/tests/test_control_scale.py
@@ -8,7 +8,7 @@
 
 from oakfork.control import change_schema
 from oakfork.control.messages import EMPTY, Kind, Position, Row
-from oakfork.control.state import record_digest, whole
+from oakfork.control.state import record_digest, total_digest
 from oakfork.lab.scale import control_costs, fleet_run, generated_state
 from oakfork.lab.scale.fleet_verifier import Acked, End, Reached, Seen, digest_of, expected, judge
 from oakfork.lab.scale.hollow_gateways import HollowStore, Values
@@ -140,7 +140,9 @@
 
 def test_the_witness_reckons_digests_as_the_state_does_by_itself():
     store = generated_state.store(generated_state.SMALL)
-    assert sum(digest_of(row) for row in generated_state.base(generated_state.SMALL)) % (1 << 64) == whole(store.sums)
+    assert sum(digest_of(row) for row in generated_state.base(generated_state.SMALL)) % (1 << 64) == total_digest(
+        store.sums
+    )
     assert judge(seen()) == []
 
 
--- a/tests/test_control_services.py
+++ b/tests/test_control_services.py
@@ -21,7 +21,7 @@
 from oakfork.control.messages import VERSION, Hello, Kind, Position, pack
 from oakfork.control.processes import publisher_engine
 from oakfork.errors import DatabaseError, PublisherTimeoutError
-from oakfork.sockets.configuration import address
+from oakfork.sockets.configuration import parse_address
 
 
 def test_a_change_set_is_in_force_everywhere_and_known_to_be(tmp_path):
@@ -111,7 +111,7 @@
         lost = []
 
         async def between(stream):
-            async with await trio.open_tcp_stream(*address(it.publisher_at)) as behind:
+            async with await trio.open_tcp_stream(*parse_address(it.publisher_at)) as behind:
                 data = b""
                 while len(data) < 4 or len(data) < 4 + (int.from_bytes(data[:4], "big") & ~connections.ZIPPED):
                     data += await stream.receive_some()
@@ -149,7 +149,7 @@
 
 def test_one_that_does_not_answer_holds_nobody_back_and_is_named(tmp_path):
     async def work(it):
-        async with await trio.open_tcp_stream(*address(it.relays_at[0])) as stream:
+        async with await trio.open_tcp_stream(*parse_address(it.relays_at[0])) as stream:
             await stream.send_all(framed(pack(Hello(VERSION, "slow", False, Position(), 0))))
             await it.publish(trial.EXAMPLE)
             position = await it.publish(servers(range(50), "more"))
@@ -193,7 +193,7 @@
 
         def slow(*told):
             commit(*told)
-            trio.from_thread.run(until, lambda: it.publisher.machine.feeder.outdated)
+            trio.from_thread.run(until, lambda: it.publisher.machine.follower_server.outdated)
 
         def failing(*_):
             raise DatabaseError("no room on the disk")
@@ -209,9 +209,9 @@
         async with trio.open_nursery() as nursery:
             nursery.start_soon(submit)
             await until(lambda: it.publisher.machine.kept)
-            async with await trio.open_tcp_stream(*address(it.publisher_at)) as stream:
+            async with await trio.open_tcp_stream(*parse_address(it.publisher_at)) as stream:
                 await stream.send_all(framed(pack(Hello(VERSION, "late", False, Position(9, 1), 0))))
-                await until(lambda: it.publisher.machine.feeder.outdated)
+                await until(lambda: it.publisher.machine.follower_server.outdated)
         assert [verdict.position for verdict in verdicts] == ([] if fails else [None])
         assert it.publisher.machine.position == Position(1, 0)
         it.scopes["p"].cancel()
@@ -232,11 +232,11 @@
         older_database, older_listener = Database(tmp_path / "older"), listen(HERE)
         older = publisher_engine(replace(file, above_term=0, others=(place_of(listener),)), older_database, LOG)
         it.run("o", older.run, older_listener)
-        await until(lambda: older.machine.feeder.higher)
+        await until(lambda: older.machine.follower_server.higher)
         verdict = await client.publish(place_of(older_listener), "one", json.dumps(trial.EXAMPLE).encode())
         assert verdict.position is None and verdict.faults[0].startswith("older term")
         verdict = await client.publish(place_of(listener), "one", json.dumps(trial.EXAMPLE).encode())
-        assert verdict.position == Position(5, 1) and not later.machine.feeder.higher
+        assert verdict.position == Position(5, 1) and not later.machine.follower_server.higher
         for name in ("q", "o"):
             it.scopes[name].cancel()
         database.close()
@@ -258,11 +258,13 @@
 
         done = said("publish", str(tmp_path / "one.json"), "--to", place)
         assert done.exit_code == 0 and "position 1.1" in done.output
-        trial.everywhere(place, lambda told: status_text.whole(told, (1, 1), 3))
+        trial.everywhere(place, lambda told: status_text.in_force_everywhere(told, (1, 1), 3))
         processes.kill("relay-1")
         done = said("publish", str(tmp_path / "two.json"), "--to", place)
         assert done.exit_code == 0 and "position 1.2" in done.output
-        trial.everywhere(place, lambda told: status_text.whole(told, (1, 2), 3) and len(told["relays"]) == 1)
+        trial.everywhere(
+            place, lambda told: status_text.in_force_everywhere(told, (1, 2), 3) and len(told["relays"]) == 1
+        )
         done = said("publish", str(tmp_path / "bad.json"), "--to", place)
         assert done.exit_code == 2 and "put.tenants[0]: 'id' is a required property" in done.output
         processes.kill("publisher")
@@ -274,7 +276,7 @@
         processes.listens("publisher")
         done = said("publish", str(tmp_path / "two.json"), "--to", place)  # as if its answer had been lost
         assert done.exit_code == 0 and "position 1.2" in done.output
-        trial.everywhere(place, lambda told: status_text.whole(told, (2, 2), 3))
+        trial.everywhere(place, lambda told: status_text.in_force_everywhere(told, (2, 2), 3))
         assert "in force at all 4 that are connected" in said("status", place).output
         assert json.loads(said("status", "--json", place).output)["position"] == [2, 2]
     finally:
--- a/tests/test_control_state.py
+++ b/tests/test_control_state.py
@@ -8,12 +8,12 @@
 from hypothesis import given, settings, strategies as st
 
 from oakfork.control import encoded_frames, messages, state
-from oakfork.control.encoded_frames import Changed, Ranges, cut
+from oakfork.control.encoded_frames import EncodedChange, EncodedRanges, cut
 from oakfork.control.history import History
 from oakfork.control.messages import RANGES, Delta, Kind, Position, Range, Row, pack, unpack_down, unpack_up
-from oakfork.control.pacing import Pace
+from oakfork.control.pacing import RangePacer
 from oakfork.control.staging import SLICE, Staged
-from oakfork.control.state import Records, as_changes, range_of, record_digest, summed
+from oakfork.control.state import Records, as_changes, range_of, record_digest, updated_sums
 
 STRICT = settings(derandomize=True, max_examples=60, deadline=None)
 NAMES = [f"n{number}" for number in range(12)]
@@ -56,7 +56,7 @@
 def test_commits_and_folds_against_a_dictionary(commits):
     store, expected = Records(), {}
     for changes, folded in commits:
-        store.commit(changes, summed(store, changes))
+        store.commit(changes, updated_sums(store, changes))
         expected = afterwards(expected, changes)
         for most in (folded, None):
             assert plain(store) == expected and len(store) == len(expected)
@@ -64,7 +64,7 @@
             named = [told for told in store.names(range(RANGES))]
             assert sorted(told[1:] for told in named) == sorted(expected)
             if most:
-                store.fold(most)
+                store.compact(most)
 
 
 def test_names_of_ranges_are_told_among_marks_for_the_others():
@@ -79,8 +79,8 @@
 
 def test_a_fold_in_parts_says_whether_some_are_left():
     store, changes = Records(), {(Kind.SERVER, name): b"v" for name in NAMES}
-    store.commit(changes, summed(store, changes))
-    assert [store.fold(5), store.fold(5), store.fold(5), store.fold(5)] == [True, True, False, False]
+    store.commit(changes, updated_sums(store, changes))
+    assert [store.compact(5), store.compact(5), store.compact(5), store.compact(5)] == [True, True, False, False]
 
 
 # Staged changes
@@ -187,7 +187,7 @@
         {(Kind.ROUTE, f"é{number}"): bytes(4000) for number in range(50)},
         {},
     ):
-        delta, rows, number = Changed(Position(1, 1), Position(1, 2), 7, changes), [], 0
+        delta, rows, number = EncodedChange(Position(1, 1), Position(1, 2), 7, changes), [], 0
         while True:
             frame = delta.frame(number)
             told = unpack_down(frame)
@@ -209,12 +209,12 @@
 
 def test_ranges_are_encoded_once_and_anew_after_a_change():
     store = filled([put(f"s{number}", b"x") for number in range(300)])
-    ranges = Ranges(store)
+    ranges = EncodedRanges(store)
     number = range_of(Kind.SERVER, "s5")
     first = ranges.frames(number)
     assert ranges.frames(number) is first
     changes = {(Kind.SERVER, "s5"): None, (Kind.SERVER, "new"): b"y"}
-    store.commit(changes, summed(store, changes))
+    store.commit(changes, updated_sums(store, changes))
     ranges.changed(changes)
     assert not ranges.ready
     while not ranges.ready:
@@ -230,10 +230,10 @@
 
 def test_change_sets_that_wait_for_the_index_are_bounded():
     store = Records()
-    ranges = Ranges(store)
+    ranges = EncodedRanges(store)
     for number in range(3 * encoded_frames.BACKLOG):
         changes = {(Kind.SERVER, f"s{number}-{each}"): b"x" for each in range(2 * SLICE)}
-        store.commit(changes, summed(store, changes))
+        store.commit(changes, updated_sums(store, changes))
         ranges.changed(changes)
         assert len(ranges.behind) <= encoded_frames.BACKLOG
     while not ranges.ready:
@@ -267,7 +267,7 @@
 
 
 def test_ranges_go_by_turns_to_a_few_and_no_faster_than_the_pace():
-    pace = Pace(1_000, 2)
+    pace = RangePacer(1_000, 2)
     for link in (1, 2, 3, 4):
         pace.ask(link)
     order = []
@@ -286,7 +286,7 @@
 
 @pytest.mark.parametrize("table", ["waiting", "mending", "ready"])
 def test_a_link_that_is_gone_is_in_no_table(table):
-    pace = Pace(1_000, 1)
+    pace = RangePacer(1_000, 1)
     pace.ask(1)
     pace.ask(2)
     if table == "mending":
--- a/tests/test_control_verifier.py
+++ b/tests/test_control_verifier.py
@@ -5,14 +5,14 @@
 import msgspec
 import pytest
 from control_fleets import fleet, with_feeder
-from control_network import Disk, World, put
-from control_verifier import Wrong
+from control_network import ControlNetwork, Disk, put
+from control_verifier import VerificationError
 
 from oakfork.control import encoded_frames
-from oakfork.control.encoded_frames import Changed
+from oakfork.control.encoded_frames import EncodedChange
 from oakfork.control.events import Say
 from oakfork.control.follower import Follower
-from oakfork.control.follower_server import Feeder, Turn
+from oakfork.control.follower_server import FollowerServer, SessionState
 from oakfork.control.messages import Kind, Position, Verdict, pack
 from oakfork.control.publisher import Publisher
 
@@ -66,7 +66,7 @@
             commands += [Say(link, frame) for link in one.links]
 
 
-class Stubborn(Feeder):
+class Stubborn(FollowerServer):
     """Serves those of a later term."""
 
     def _outdated(self, number, link):
@@ -79,28 +79,28 @@
             super()._serve(number, link)
 
 
-class Leaps(Feeder):
+class Leaps(FollowerServer):
     """Sends the last change set alone, whatever the other has."""
 
     def _begin(self, number, link, after):
         sets = self.history.sets
-        delta = Changed(sets[-2].position, self.position, sets[-1].digest, sets[-1].changes)
+        delta = EncodedChange(sets[-2].position, self.position, sets[-1].digest, sets[-1].changes)
         self.commands.append(Say(number, delta.frame(0)))
-        self._turn(link, Turn.THEIRS)
+        self._turn(link, SessionState.THEIRS)
 
 
-class Garbles(Feeder):
+class Garbles(FollowerServer):
     """Sends another value than is in force, with the digest of what is."""
 
     def _begin(self, number, link, after):
         changes = {key: b"garbled" for key in self.history.merged(after)}
-        delta = Changed(after, self.position, self.history.digest(self.position), changes)
+        delta = EncodedChange(after, self.position, self.history.digest(self.position), changes)
         self.commands.append(Say(number, delta.frame(0)))
-        self._turn(link, Turn.THEIRS)
+        self._turn(link, SessionState.THEIRS)
 
 
 def older_term(follower):
-    world = World(5)
+    world = ControlNetwork(5)
     world.publisher("p", kind=with_feeder(Stubborn, Publisher))
     world.operator("p")
     world.submit(put("a", b"1"))
@@ -117,7 +117,7 @@
 
 
 def gap(follower):
-    world = World(6)
+    world = ControlNetwork(6)
     world.publisher()
     world.relay("wrong", 0, ["p"], with_feeder(Leaps))
     world.relay("right", 0, ["p"])
@@ -134,7 +134,7 @@
 
 
 def garbled(follower):
-    world = World(7)
+    world = ControlNetwork(7)
     world.publisher()
     world.relay("wrong", 0, ["p"], with_feeder(Garbles))
     world.relay("right", 0, ["p"])
@@ -147,7 +147,7 @@
 
 
 def in_parts(follower):
-    world = World(8)
+    world = ControlNetwork(8)
     world.publisher()
     world.follower("g", 0, ["p"], follower)
     world.operator("p")
@@ -187,5 +187,5 @@
         assert world.nodes["g"].machine.store.value(Kind.SERVER, "a") == b"2"
     else:
         world.agreed()
-    with pytest.raises(Wrong, match=found):
+    with pytest.raises(VerificationError, match=found):
         scene(broken).agreed()
--- a/tests/test_decision_loop.py
+++ b/tests/test_decision_loop.py
@@ -10,30 +10,30 @@
 import structlog
 import trio
 import trio.testing
-from fake_services import CUSTOMER, StandIn, surroundings
+from fake_services import CUSTOMER, FakeService, surroundings
 
 from oakfork import interface
 from oakfork.decision import DecisionModule
 from oakfork.errors import ConnectionFailedError
 from oakfork.interface import NEVER_RAN, Status
 from oakfork.sockets import configuration
-from oakfork.sockets.counter_client import Counter, _result as counter_result
-from oakfork.sockets.decision_loop import Keeper
+from oakfork.sockets.counter_client import CounterClient, _result as counter_result
+from oakfork.sockets.decision_loop import DecisionLoop
 from oakfork.sockets.exchange import Exchange
-from oakfork.sockets.http_connection import LARGEST_BODY, Link, Message, connect, plain
-from oakfork.sockets.messages import Came
-from oakfork.sockets.outcomes import STATUS, Ending
-from oakfork.sockets.server_connections import REST, Servers
+from oakfork.sockets.http_connection import LARGEST_BODY, HttpConnection, HttpMessage, connect, request_head
+from oakfork.sockets.messages import RpcReceived
+from oakfork.sockets.outcomes import STATUS_OF_OUTCOME, Outcome
+from oakfork.sockets.server_connections import REST, ServerConnections
 
 
 def test_every_ending_means_one_status():
-    assert set(STATUS) == set(Ending)
-    unsent = {Ending.TURNED_AWAY, Ending.NO_ROOM, Ending.REFUSED, Ending.NEVER_UP, Ending.UNSENT, Ending.TOO_LATE}
-    assert {ending for ending, status in STATUS.items() if status in NEVER_RAN} == unsent
+    assert set(STATUS_OF_OUTCOME) == set(Outcome)
+    unsent = {Outcome.TURNED_AWAY, Outcome.NO_ROOM, Outcome.REFUSED, Outcome.NEVER_UP, Outcome.UNSENT, Outcome.TOO_LATE}
+    assert {ending for ending, status in STATUS_OF_OUTCOME.items() if status in NEVER_RAN} == unsent
 
 
 @contextmanager
-def keeper(tmp_path, monkeypatch, handle):
+def decision_loop(tmp_path, monkeypatch, handle):
     """A keeper whose module is a stand-in; yields a function that runs a task beside it on a clock of its own."""
     monkeypatch.setattr(DecisionModule, "handle", handle)
 
@@ -41,7 +41,7 @@
         async def main():
             queue, inbox = trio.open_memory_channel(10)
             async with trio.open_nursery() as nursery:
-                kept = Keeper(here, inbox, queue, None, None, None, None, nursery, structlog.get_logger())
+                kept = DecisionLoop(here, inbox, queue, None, None, None, None, nursery, structlog.get_logger())
                 nursery.start_soon(kept.run)
                 nursery.start_soon(kept.tick)
                 await task(kept, queue)
@@ -72,7 +72,7 @@
         await trio.sleep(5)
 
     chance, seen, wanted, late = random.Random(3), [], {}, []
-    with keeper(tmp_path, monkeypatch, handle) as play:
+    with decision_loop(tmp_path, monkeypatch, handle) as play:
         play(task)
     assert len(seen) > 500 and not wanted and seen == sorted(seen)
     assert min(late) >= 0 and 40 < max(late) <= 2 * 40 + 10  # tenths of a ms: never early, two ticks at most
@@ -99,14 +99,17 @@
                 ],
             )
             exchange = Exchange(
-                Message(head, b""), kept.here.names, kept.here.settings, lambda answer: statuses.append(answer.status)
+                HttpMessage(head, b""),
+                kept.here.names,
+                kept.here.settings,
+                lambda answer: statuses.append(answer.status),
             )
-            await queue.send(Came(exchange))
+            await queue.send(RpcReceived(exchange))
             await trio.sleep(0.1)
         assert not kept.index_table.rpcs and kept.index_table.free_rpc_indices == [0]
 
     statuses = []
-    with keeper(tmp_path, monkeypatch, handle) as play:
+    with decision_loop(tmp_path, monkeypatch, handle) as play:
         play(task)
     assert statuses == [503, 502, 503]
 
@@ -123,12 +126,12 @@
 
     async def main():
         queue, inbox = trio.open_memory_channel(10)
-        counter = Counter(here, queue)
+        counter = CounterClient(here, queue)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(counter.run)
             for number in range(6):
                 if number == 5:  # SIGHUP: the old one is still there, and has an open connection
-                    counter.turn_to(configuration.address(other.address))
+                    counter.change_address(configuration.parse_address(other.address))
                 await trio.sleep(0.1)
                 assert counter.count(interface.AddToCounter(number, -2.5, 40_000))
                 with trio.fail_after(2):
@@ -136,7 +139,7 @@
             nursery.cancel_scope.cancel()
 
     totals, answers = [], []
-    server, other = StandIn(act), StandIn(lambda handler, body: handler.reply(200, b"7"))
+    server, other = FakeService(act), FakeService(lambda handler, body: handler.reply(200, b"7"))
     here = surroundings(tmp_path, counter=server.address)
     trio.run(main)
     assert totals[0] == "/counters/0?by=-2.500000&expire_ms=4000"
@@ -158,9 +161,11 @@
         before[handler.connection] = time.monotonic()
 
     async def main():
-        servers = Servers(20, LARGEST_BODY, 0.25, 15.0, ())
+        servers = ServerConnections(20, LARGEST_BODY, 0.25, 15.0, ())
         for pause in [0.3] * 10 + [REST + 0.02] * 10:
-            ending, _ = await servers.call(0, server.server_address, lambda: plain("GET", "/", server.server_address))
+            ending, _ = await servers.call(
+                0, server.server_address, lambda: request_head("GET", "/", server.server_address)
+            )
             ends.append(ending)
             await trio.sleep(pause)
         for _ in range(30):
@@ -168,40 +173,40 @@
         assert servers.ages.fit(0.3)
 
     before, ends = {}, []
-    server = StandIn(act)
+    server = FakeService(act)
     trio.run(main)
     server.shutdown()
     server.server_close()
-    assert 1 <= ends.count(Ending.ENDED) <= 3 and set(ends) == {Ending.ANSWERED, Ending.ENDED}
+    assert 1 <= ends.count(Outcome.ENDED) <= 3 and set(ends) == {Outcome.ANSWERED, Outcome.ENDED}
     assert len(before) < 12  # those that idled for less were used again
 
 
 @pytest.mark.parametrize(
     "body, ending",
     [
-        (b"2.5", Ending.ANSWERED),
-        (b"-1e3\n", Ending.ANSWERED),
-        (b"", Ending.MALFORMED),
-        (b"nan", Ending.MALFORMED),
-        (b"inf", Ending.MALFORMED),
-        (b"\xff\x00", Ending.MALFORMED),
+        (b"2.5", Outcome.ANSWERED),
+        (b"-1e3\n", Outcome.ANSWERED),
+        (b"", Outcome.MALFORMED),
+        (b"nan", Outcome.MALFORMED),
+        (b"inf", Outcome.MALFORMED),
+        (b"\xff\x00", Outcome.MALFORMED),
     ],
 )
 def test_a_total_that_is_no_number_is_a_spoilt_answer(body, ending):
     head = h11.Response(status_code=200, headers=[("Content-Length", str(len(body)))])
-    assert counter_result(Message(head, body))[0] == ending
+    assert counter_result(HttpMessage(head, body))[0] == ending
 
 
 def test_a_connection_closed_under_a_write_is_an_ending():
     async def main():
         ours, theirs = socket.socketpair()
         with closing(theirs):
-            link = Link(ours, h11.SERVER)
+            link = HttpConnection(ours, h11.SERVER)
             ours.setblocking(False)
             link.close()
             with pytest.raises(ConnectionFailedError) as end:
                 await link.drain([memoryview(b"x")])
-            assert end.value.ending == Ending.UNSENT
+            assert end.value.outcome == Outcome.UNSENT
 
     trio.run(main)
 
@@ -216,9 +221,9 @@
                 try:
                     links.append(await connect(full.getsockname(), 0.1))
                 except ConnectionFailedError as end:
-                    ended = end.ending
+                    ended = end.outcome
             for link in links:
                 link.close()
         return ended
 
-    assert trio.run(main) == Ending.NEVER_UP
+    assert trio.run(main) == Outcome.NEVER_UP
--- a/tests/test_decision_module.py
+++ b/tests/test_decision_module.py
@@ -2,7 +2,7 @@
 
 import pytest
 from decision_modules import ended, gateway, kinds
-from gateway_network import METHODS, World, arrival
+from gateway_network import METHODS, GatewayNetwork, arrival
 
 from oakfork import interface
 from oakfork.interface import SECOND, Status
@@ -10,21 +10,21 @@
 
 @pytest.mark.parametrize("seed", range(8))
 def test_the_rules_hold_after_every_step(seed):
-    world = World(seed, 2 + seed % 3, 7, probing=seed > 3)
+    world = GatewayNetwork(seed, 2 + seed % 3, 7, probing=seed > 3)
     world.play(25, 40)
     assert world.answers["ok"] > 200
     assert not any(module.rpcs for module in world.modules), "an RPC was left in the table"
 
 
 def test_the_same_events_give_the_same_commands():
-    worlds = [World(3, 3, 6, probing=True) for _ in range(2)]
+    worlds = [GatewayNetwork(3, 3, 6, probing=True) for _ in range(2)]
     for world in worlds:
         world.play(8, 40)
     assert worlds[0].log == worlds[1].log
 
 
 def test_without_trouble_only_the_quota_pushes_back():
-    world = World(5, 3, 9, trouble=False)
+    world = GatewayNetwork(5, 3, 9, trouble=False)
     world.play(20, 10)
     assert world.answers["aborted"] == 0 and world.answers["ok"] > 5 * world.answers["pushed back"]
 
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -18,8 +18,8 @@
 from oakfork.errors import ConnectionFailedError
 from oakfork.interface import SECOND
 from oakfork.sockets import discovery as watches
-from oakfork.sockets.messages import Listed
-from oakfork.sockets.outcomes import Ending
+from oakfork.sockets.messages import ServersListed
+from oakfork.sockets.outcomes import Outcome
 
 ENTRY = {"id": "s-1", "addr": "127.0.0.1:1", "state": "up"}
 
@@ -90,7 +90,7 @@
 
     targets = []
     queue, inbox = trio.open_memory_channel(math.inf)
-    watch = watches.Discovery(here_of(("127.0.0.1", 1)), queue, structlog.get_logger())
+    watch = watches.DiscoveryClient(here_of(("127.0.0.1", 1)), queue, structlog.get_logger())
     trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
     moved_on = sum(f"from={number + 2}&".encode() in target for number, target in enumerate(targets[1:]))
     assert moved_on == inbox.statistics().current_buffer_used == 4
@@ -102,13 +102,13 @@
     async def main():
         queue, inbox = trio.open_memory_channel(math.inf)
         with agents(2) as (old, new):
-            watch = watches.Discovery(here_of(old.getsockname()), queue, structlog.get_logger())
+            watch = watches.DiscoveryClient(here_of(old.getsockname()), queue, structlog.get_logger())
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(watch.run)
                 one, _ = await taken(old)
-                nursery.start_soon(watch.read_once)
+                nursery.start_soon(watch.read_list_once)
                 whole, _ = await taken(old)
-                watch.turn_to(new.getsockname())
+                watch.change_address(new.getsockname())
                 one.sendall(answer(900, False))
                 whole.sendall(answer(901))
                 fresh, request = await taken(new)
@@ -117,8 +117,8 @@
                 fresh.sendall(answer(3))
                 told = [await inbox.receive() for _ in range(2)]
                 assert sorted(told, key=lambda news: news.failed) == [
-                    Listed(True, False, [ENTRY]),
-                    Listed(False, True, ()),
+                    ServersListed(True, False, [ENTRY]),
+                    ServersListed(False, True, ()),
                 ]
                 assert b"from=3&" in await asked(fresh)
                 for sock in (one, whole, fresh):
@@ -132,14 +132,14 @@
     async def main():
         queue, inbox = trio.open_memory_channel(math.inf)
         with agents(1) as (listener,):
-            watch = watches.Discovery(here_of(listener.getsockname()), queue, structlog.get_logger())
+            watch = watches.DiscoveryClient(here_of(listener.getsockname()), queue, structlog.get_logger())
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(watch.run)
                 watched, _ = await taken(listener)
-                nursery.start_soon(watch.read_once)
+                nursery.start_soon(watch.read_list_once)
                 whole, _ = await taken(listener)
                 watched.sendall(answer(7, False))
-                assert await inbox.receive() == Listed(False, False, [ENTRY])
+                assert await inbox.receive() == ServersListed(False, False, [ENTRY])
                 whole.sendall(answer(5))
                 assert b"from=7&" in await asked(watched)
                 await trio.testing.wait_all_tasks_blocked(0.05)
@@ -181,10 +181,10 @@
     async def connect(address, patience):
         way = kind if trio.current_time() < back[0] else "up"
         if way == "refuses":
-            raise ConnectionFailedError(Ending.REFUSED)
+            raise ConnectionFailedError(Outcome.REFUSED)
         if way == "away":
             await trio.sleep(patience)
-            raise ConnectionFailedError(Ending.NEVER_UP)
+            raise ConnectionFailedError(Outcome.NEVER_UP)
         await trio.sleep(min(patience, 0.4) if slow else 0.0)
         line = Line()
         line.silent = False
@@ -195,7 +195,7 @@
         queue, inbox = trio.open_memory_channel(math.inf)
         here = here_of(("127.0.0.1", 1), connect_patience=patience)
         with trio.move_on_after(length + 8):
-            await watches.Discovery(here, queue, structlog.get_logger()).run()
+            await watches.DiscoveryClient(here, queue, structlog.get_logger()).run()
         return told[0] - back[0]
 
     chance = random.Random(seed)
--- a/tests/test_drills.py
+++ b/tests/test_drills.py
@@ -18,10 +18,10 @@
 from oakfork.lab import fault_schedule
 from oakfork.lab.contract_drill import CAPACITY, RESERVED, contract_drill
 from oakfork.lab.fault_schedule import HOLDER, Trouble
-from oakfork.lab.fenced_resource import Taken, faults, gap
+from oakfork.lab.fenced_resource import AcceptedAct, faults, gap
 from oakfork.lab.lease_drill import lease_drill, plain_configuration
 from oakfork.leases import fence
-from oakfork.leases.durations import Lengths
+from oakfork.leases.durations import LeaseDurations
 
 
 @pytest.mark.timeout(90)
@@ -47,11 +47,11 @@
 
 def test_the_witness_finds_what_it_is_there_for():
     """Guards against a judge that sees nothing."""
-    good = [Taken(10, 20, 0, 7, 1), Taken(15, 30, 0, 7, 1), Taken(31, 40, 1, 8, 2)]
+    good = [AcceptedAct(10, 20, 0, 7, 1), AcceptedAct(15, 30, 0, 7, 1), AcceptedAct(31, 40, 1, 8, 2)]
     assert not faults(good)
-    assert "overlap" in faults([*good, Taken(35, 50, 2, 9, 3)])[0]
-    assert "after one of term" in faults([*good, Taken(45, 50, 0, 7, 1)])[0]
-    assert "is held by" in faults([*good, Taken(45, 50, 2, 9, 2)])[0]
+    assert "overlap" in faults([*good, AcceptedAct(35, 50, 2, 9, 3)])[0]
+    assert "after one of term" in faults([*good, AcceptedAct(45, 50, 0, 7, 1)])[0]
+    assert "is held by" in faults([*good, AcceptedAct(45, 50, 2, 9, 2)])[0]
     assert gap(good, 16, 4) == 16 and gap(good, 40, 9) is None
 
 
@@ -113,11 +113,11 @@
 def test_a_clock_learnt_long_ago_does_not_end_acts_before_they_come():
     """Guards against a view of another's clock that is kept: with each second an act's end there comes earlier, until
     every act is late. Seen on contracts: no deal was taken ten seconds after the first."""
-    lengths = Lengths(lease=10_000, drift=10, act=2_000, longest=10_000)
-    view = fence.View(1, 0, 0)
-    for age in range(0, lengths.stale + 1, 100):
-        assert fence.end_there(view, age + lengths.act, lengths) > age + lengths.act * 3 // 4
-    assert fence.end_there(view, 120_000 + lengths.act, lengths) < 120_000  # what an old one would do
+    durations = LeaseDurations(lease=10_000, drift=10, act=2_000, longest=10_000)
+    view = fence.ClockView(1, 0, 0)
+    for age in range(0, durations.stale + 1, 100):
+        assert fence.end_on_their_clock(view, age + durations.act, durations) > age + durations.act * 3 // 4
+    assert fence.end_on_their_clock(view, 120_000 + durations.act, durations) < 120_000  # what an old one would do
     drill = lease_drill(3, seconds=6.0, troubles=[])
     assert not drill.faults and drill.refused.get("late", 0) < 0.02 * drill.acts
 
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -8,7 +8,7 @@
 import sys
 
 import pytest
-from fake_services import Discovery, told
+from fake_services import FakeDiscovery, told
 from lab_worlds import ROOT
 
 from oakfork import errors
@@ -61,7 +61,7 @@
 
 
 def test_the_log_line_of_an_error_has_its_text(tmp_path):
-    discovery = Discovery([])
+    discovery = FakeDiscovery([])
     document = told(discovery.address, []) | {"listen": discovery.address}  # taken
     (tmp_path / "n0.json").write_text(json.dumps(document))
     done = subprocess.run(
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -4,7 +4,7 @@
 from collections import Counter
 
 import pytest
-from gateway_network import World, arrival, entry, gateway_settings
+from gateway_network import GatewayNetwork, arrival, entry, gateway_settings
 
 from oakfork import interface
 from oakfork.decision import DecisionModule
@@ -14,7 +14,7 @@
 WORK = 1_650  # usual length of a call-out here
 
 
-class Fleet(World):
+class Fleet(GatewayNetwork):
     """A tier whose servers are replaced, lost and back cold, with a discovery that is asked, late, or overbooked."""
 
     def __init__(self, seed: int, gateways: int = 40, servers: int = 24, subscribes_to_list: bool = True) -> None:
--- a/tests/test_fleet_config.py
+++ b/tests/test_fleet_config.py
@@ -13,9 +13,9 @@
 from oakfork import errors
 from oakfork.cli import main
 from oakfork.fleet import codec, config as fleetfile
-from oakfork.fleet.transport import Post
-from oakfork.leases.messages import Ask, Hello
-from oakfork.sockets.configuration import address
+from oakfork.fleet.transport import DatagramTransport
+from oakfork.leases.messages import Ask, ClockRequest
+from oakfork.sockets.configuration import parse_address
 
 GOOD = {
     "revision": 2,
@@ -83,21 +83,21 @@
 
 def test_the_longest_lease_of_both_editions_is_what_a_voter_abstains_for():
     before = {"edition": "0" * 16, "voters": [0, 1, 2], "length_ms": 9000}
-    assert fleetfile.checked(changed(leases__before=before)).lengths.longest == 90_000
+    assert fleetfile.checked(changed(leases__before=before)).durations.longest == 90_000
 
 
 def box():
     told = changed(addresses=[free_port(socket.SOCK_DGRAM), "127.0.0.1:7001", "127.0.0.1:7002"])
-    post, taken = Post(fleetfile.checked(told), 0), []
-    post.handlers[Ask] = lambda sender, message: taken.append((sender, message))
-    post.sock.close()
-    return post, taken
+    transport, taken = DatagramTransport(fleetfile.checked(told), 0), []
+    transport.handlers[Ask] = lambda sender, message: taken.append((sender, message))
+    transport.sock.close()
+    return transport, taken
 
 
 def test_only_whole_frames_of_known_senders_and_this_fleet_are_believed():
-    post, taken = box()
-    ask, edition = Ask(0, 1, 5, 6, 7, 30_000), post.file.edition
-    good, place = codec.pack(1, edition, [ask]), address("127.0.0.1:7001")
+    transport, taken = box()
+    ask, edition = Ask(0, 1, 5, 6, 7, 30_000), transport.file.edition
+    good, place = codec.pack(1, edition, [ask]), parse_address("127.0.0.1:7001")
     foreign = edition._replace(digest=edition.digest ^ 1)
     for data, sender, reason in (
         (good[:-1], place, "malformed"),
@@ -106,33 +106,33 @@
         (b"\xc1" * 40, place, "malformed"),
         (good + b" " * codec.LARGEST, place, "malformed"),
         (codec.pack(1, edition, [ask] * 60), place, "malformed"),
-        (good, address("127.0.0.1:7999"), "from an unknown address"),
-        (good, address("127.0.0.1:7002"), "in another's name"),
+        (good, parse_address("127.0.0.1:7999"), "from an unknown address"),
+        (good, parse_address("127.0.0.1:7002"), "in another's name"),
         (codec.pack(1, foreign, [ask]), place, "of another fleet file"),
     ):
-        before = post.counts["refused: " + reason]
-        post.take(data, sender)
-        assert post.counts["refused: " + reason] == before + 1 and not taken
-    post.take(good, place)
-    post.take(good, place)  # doubled: the machines take that
+        before = transport.counts["refused: " + reason]
+        transport.take(data, sender)
+        assert transport.counts["refused: " + reason] == before + 1 and not taken
+    transport.take(good, place)
+    transport.take(good, place)  # doubled: the machines take that
     assert taken == [(1, ask)] * 2
-    post.take(codec.pack(1, edition, [Hello(0, 1, 2)]), place)  # a kind that nobody takes here
+    transport.take(codec.pack(1, edition, [ClockRequest(0, 1, 2)]), place)  # a kind that nobody takes here
     assert len(taken) == 2
 
 
 def test_random_damage_never_crashes_and_wild_numbers_are_refused():
-    post, taken = box()
-    dice, place = random.Random(4), address("127.0.0.1:7001")
-    good = codec.pack(1, post.file.edition, [Ask(0, 1, 5, 6, 7, 30_000)])
+    transport, taken = box()
+    dice, place = random.Random(4), parse_address("127.0.0.1:7001")
+    good = codec.pack(1, transport.file.edition, [Ask(0, 1, 5, 6, 7, 30_000)])
     for _ in range(3000):
         data = bytearray(good)
         for _ in range(dice.randrange(1, 5)):
             data[dice.randrange(len(data))] = dice.randrange(256)
-        post.take(bytes(data[: dice.randrange(len(data) + 1)] if dice.random() < 0.3 else data), place)
-    assert sum(post.counts.values()) == 3000
+        transport.take(bytes(data[: dice.randrange(len(data) + 1)] if dice.random() < 0.3 else data), place)
+    assert sum(transport.counts.values()) == 3000
     assert all(0 <= ask.length <= 1 << 40 and 0 <= ask.term < 1 << 63 for _, ask in taken)
-    wild = msgspec.msgpack.encode([1, 1, *post.file.edition, [[1, 0, 1, 5, -6, 7, 30_000]]])
-    post.take(wild, place)
+    wild = msgspec.msgpack.encode([1, 1, *transport.file.edition, [[1, 0, 1, 5, -6, 7, 30_000]]])
+    transport.take(wild, place)
     assert not any(ask.term < 0 for _, ask in taken)
 
 
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -11,8 +11,8 @@
 import pytest
 from fake_services import (
     CUSTOMER,
-    Discovery,
-    StandIn,
+    FakeDiscovery,
+    FakeService,
     connection,
     echo,
     entry,
@@ -94,7 +94,7 @@
             handler.reply(200, bytes(range(256)) * 1500)
 
     with world(act) as w:
-        slow = socket.create_connection(configuration.address(w.at), timeout=5)  # takes it bit by bit
+        slow = socket.create_connection(configuration.parse_address(w.at), timeout=5)  # takes it bit by bit
         slow.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         slow.sendall(request_bytes(**{"X-Remaining-Ms": "2000", "X-Txn": "5"}))
         assert rpc(w.at)[:2] == (200, bytes(range(256)) * 1500)
@@ -207,9 +207,9 @@
 
 
 def test_two_gateways_keep_one_quota(tmp_path):
-    server = StandIn(echo)
+    server = FakeService(echo)
     servers = [entry(0, server.address)]
-    discovery = Discovery(servers)
+    discovery = FakeDiscovery(servers)
     peers = [free_port(socket.SOCK_DGRAM) for _ in range(2)]
     both = [
         told(
@@ -226,7 +226,7 @@
     with started(tmp_path, both[0]), started(tmp_path, both[1]):
         with closing(socket.socket(socket.AF_INET, socket.SOCK_DGRAM)) as stranger:  # changes nothing
             for size in (0, 1, 256, 300):
-                stranger.sendto(random.Random(size).randbytes(size), configuration.address(peers[0]))
+                stranger.sendto(random.Random(size).randbytes(size), configuration.parse_address(peers[0]))
         terms = {"X_Call_Terms": "units=1,spread=2,first=0", "tier": "basic"}
         rpc(both[0]["listen"], **terms), rpc(both[1]["listen"], **terms)
         statuses = [rpc(both[i % 2]["listen"], **terms)[0] for i in range(10)]
@@ -291,6 +291,6 @@
     ):
         path.write_text(text)
         with pytest.raises(configuration.ConfigurationError):
-            configuration.read({"LB_CONFIG": str(path)})
+            configuration.read_configuration({"LB_CONFIG": str(path)})
     with pytest.raises(configuration.ConfigurationError):
-        configuration.read({})
+        configuration.read_configuration({})
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -13,17 +13,17 @@
 from oakfork.lab import experiment as files
 from oakfork.lab.baseline_policies import POLICIES, Baseline
 from oakfork.lab.compare import interval
-from oakfork.lab.event_loop import Kind, Loop
+from oakfork.lab.event_loop import EventKind, EventLoop
 from oakfork.lab.sweep import play
 
 
 def test_events_of_one_instant_come_in_the_stated_order():
-    loop, came = Loop(), []
-    planned = [(kind, number) for number in range(3) for kind in Kind]
+    loop, came = EventLoop(), []
+    planned = [(kind, number) for number in range(3) for kind in EventKind]
     random.Random(1).shuffle(planned)
     for kind, number in planned:
         loop.at(5, kind, came.append, (kind, number))
-    loop.at(7, Kind.FAULT, loop.at, 3, Kind.FAULT, lambda: came.append(loop.now))  # in the past: now
+    loop.at(7, EventKind.FAULT, loop.at, 3, EventKind.FAULT, lambda: came.append(loop.now))  # in the past: now
     loop.run(10)
     assert came[:-1] == sorted(planned, key=lambda row: (row[0], planned.index(row))) and came[-1] == 7
 
@@ -52,7 +52,7 @@
         )
         result = one.run()
         assert result["sums"]["ok"] == result["sums"]["asked"] and not result["broken"]
-        mean = one.tally.latency.get_mean_value() / SECOND
+        mean = one.metrics.latency.get_mean_value() / SECOND
         waits.append(mean - work)
         busy.append(sum(result["server_work_s"]) / 60 / cores)
     erlang = load * cores
@@ -124,7 +124,7 @@
     came = []
     one.loop.at(
         SECOND + 2 * SECOND + 1,
-        Kind.LOOK,
+        EventKind.LOOK,
         lambda: [setattr(gateway, "handle", lambda *event: came.append(event)) for gateway in one.gateways],
     )
     result = one.run()
@@ -212,9 +212,9 @@
 
 
 def _watched(one):
-    from oakfork.lab.invariant_checker import Watched
+    from oakfork.lab.invariant_checker import WatchedRpc
 
-    return Watched(one.plan.methods[0], 5, one.plan.plans[0], 0, 0, 1000)
+    return WatchedRpc(one.plan.methods[0], 5, one.plan.plans[0], 0, 0, 1000)
 
 
 def test_a_repeat_outside_its_group_or_time_is_caught():
--- a/tests/test_lease_machines.py
+++ b/tests/test_lease_machines.py
@@ -6,10 +6,10 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
 from oakfork.leases import fence, holder, voter
-from oakfork.leases.durations import Lengths
-from oakfork.leases.messages import Ask, Free, Grant, Refusal, Release
+from oakfork.leases.durations import LeaseDurations
+from oakfork.leases.messages import Ask, Grant, Refusal, Release, VoteFreed
 
-LENGTHS = Lengths(lease=3_000, drift=100, act=500, longest=3_000)
+LENGTHS = LeaseDurations(lease=3_000, drift=100, act=500, longest=3_000)
 VOTERS, CONTENDERS = 5, 3
 CHANCE = st.floats(0, 1, exclude_max=True)
 
@@ -50,7 +50,7 @@
 
     @rule(me=st.integers(0, CONTENDERS - 1), chance=CHANCE)
     def a_contender_goes_on(self, me, chance):
-        self.ones[me], said = holder.woken(self.ones[me], self.mine(me), LENGTHS, 0, chance)
+        self.ones[me], said = holder.on_timer(self.ones[me], self.mine(me), LENGTHS, 0, chance)
         self.say(None, said)
 
     @rule(which=st.integers(0, 1 << 30), chance=CHANCE)
@@ -71,24 +71,24 @@
     def arrives(self, to, message, chance):
         match message:
             case Ask():
-                self.votes[to], reply = voter.asked(self.votes[to], self.clock(to), message, LENGTHS, to)
+                self.votes[to], reply = voter.on_ask(self.votes[to], self.clock(to), message, LENGTHS, to)
                 self.say(message.gateway, [reply])
             case Release():
-                self.votes[to], hint = voter.released(self.votes[to], self.clock(to), message, to)
+                self.votes[to], hint = voter.on_release(self.votes[to], self.clock(to), message, to)
                 if hint:
                     self.say(hint[0], [hint[1]])
             case Grant():
-                self.ones[to] = holder.granted(self.ones[to], self.mine(to), message, LENGTHS)
+                self.ones[to] = holder.on_grant(self.ones[to], self.mine(to), message, LENGTHS)
             case Refusal():
-                self.ones[to], said = holder.refused(self.ones[to], self.mine(to), message, LENGTHS, 0, chance)
+                self.ones[to], said = holder.on_refusal(self.ones[to], self.mine(to), message, LENGTHS, 0, chance)
                 self.say(None, said)
-            case Free():
-                self.ones[to] = holder.freed(self.ones[to], self.mine(to))
+            case VoteFreed():
+                self.ones[to] = holder.on_free(self.ones[to], self.mine(to))
 
     @rule(number=st.integers(0, VOTERS - 1))
     def a_voter_restarts(self, number):
         self.floor = max([self.floor, *self.terms]) + 1  # the time of day has gone on
-        self.votes[number] = voter.started(self.clock(number), LENGTHS, self.floor)
+        self.votes[number] = voter.initial_vote(self.clock(number), LENGTHS, self.floor)
 
     @rule(me=st.integers(0, CONTENDERS - 1))
     def a_contender_restarts(self, me):
@@ -97,20 +97,22 @@
 
     @rule(me=st.integers(0, CONTENDERS - 1))
     def a_contender_leaves(self, me):
-        self.ones[me] = holder.left(self.ones[me], self.mine(me), LENGTHS)
+        self.ones[me] = holder.on_leave(self.ones[me], self.mine(me), LENGTHS)
 
     @rule(me=st.integers(0, CONTENDERS - 1))
     def a_clock_is_learnt(self, me):
-        self.views[me] = fence.View(self.guard.life, self.clock(VOTERS + CONTENDERS), self.mine(me))
+        self.views[me] = fence.ClockView(self.guard.life, self.clock(VOTERS + CONTENDERS), self.mine(me))
 
     @rule(me=st.integers(0, CONTENDERS - 1))
     def a_holder_acts(self, me):
         """It looks at its clock, and may then stand still before the act is said, for any time."""
-        self.ones[me], end = holder.acts(self.ones[me], self.mine(me), LENGTHS)
+        self.ones[me], end = holder.begin_act(self.ones[me], self.mine(me), LENGTHS)
         if end and me in self.views:
             view = self.views[me]
             self.acts.append(
-                SimpleNamespace(me=me, life=view.life, term=self.ones[me].term, end=fence.end_there(view, end, LENGTHS))
+                SimpleNamespace(
+                    me=me, life=view.life, term=self.ones[me].term, end=fence.end_on_their_clock(view, end, LENGTHS)
+                )
             )
 
     @rule(which=st.integers(0, 1 << 30))
@@ -118,7 +120,9 @@
         if self.acts:
             act = self.acts[which % len(self.acts)]
             highest = self.guard.highest
-            self.guard, verdict = fence.judge(self.guard, self.clock(VOTERS + CONTENDERS), act.life, act.term, act.end)
+            self.guard, verdict = fence.check_act(
+                self.guard, self.clock(VOTERS + CONTENDERS), act.life, act.term, act.end
+            )
             if verdict is fence.Verdict.TAKEN:
                 assert act.term >= highest
                 assert not any(one.holds(self.mine(one.me)) for one in self.ones if one.me != act.me)
--- a/tests/test_lease_model.py
+++ b/tests/test_lease_model.py
@@ -2,12 +2,12 @@
 
 import pytest
 
-from oakfork.lab.lease_model import Fleet
+from oakfork.lab.lease_model import LeaseFleetModel
 
 
 @pytest.mark.parametrize("loss", [0.0, 0.3])
 def test_frames_do_not_grow_with_those_that_only_watch_and_no_two_hold(loss):
-    small, large = (Fleet(gateways, 3, loss, 5).run(120, 300_000) for gateways in (3, 300))
+    small, large = (LeaseFleetModel(gateways, 3, loss, 5).run(120, 300_000) for gateways in (3, 300))
     assert small.frames == large.frames < 15 and large.frames_of_a_watcher == 0
     assert large.overlaps == 0 and large.held > 0.6 and large.state_bytes < 4096
     assert max(large.waits) < 12 and len(large.waits) >= 2
@@ -19,7 +19,7 @@
     """Guards against rounds that split the votes again and again: five start at one instant."""
     firsts = []
     for seed in range(12):
-        fleet = Fleet(5, 5, 0.0, seed)
+        fleet = LeaseFleetModel(5, 5, 0.0, seed)
         for me in range(5):
             fleet.wake(me, fleet.ones[me].life)
         while not fleet.holding():
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -1,7 +1,7 @@
 """Leases: every interleaving of a few, and broken variants of the rules, each of which has to be found out."""
 
 import pytest
-from lease_search import ACT, Broken, Search
+from lease_search import ACT, InvariantBrokenError, Search
 
 from oakfork.leases import fence, holder, voter
 
@@ -24,54 +24,54 @@
     assert search.run(depth) >= least, "the search saw less than it did: it may prove nothing"
 
 
-def no_abstention(now, lengths, floor):
+def no_abstention(now, durations, floor):
     return voter.Vote(0, floor)
 
 
-def counted_from_the_reply(one, now, grant, lengths):
-    after = holder.granted(one, now, grant, lengths)
-    return after._replace(until=now + lengths.lease) if after.until != one.until else after
+def counted_from_the_reply(one, now, grant, durations):
+    after = holder.on_grant(one, now, grant, durations)
+    return after._replace(until=now + durations.lease) if after.until != one.until else after
 
 
-def half_is_enough(one, now, grant, lengths):
-    after = holder.granted(one, now, grant, lengths)
-    return after._replace(until=one.asked_at + lengths.lease) if after.grants else after
+def half_is_enough(one, now, grant, durations):
+    after = holder.on_grant(one, now, grant, durations)
+    return after._replace(until=one.asked_at + durations.lease) if after.grants else after
 
 
-def no_margin_for_drift(vote, now, ask, lengths, me):
-    return voter.asked(vote, now, ask, lengths._replace(drift=0), me)
+def no_margin_for_drift(vote, now, ask, durations, me):
+    return voter.on_ask(vote, now, ask, durations._replace(drift=0), me)
 
 
 def no_end_at_the_fence(guard, now, life, term, end):
-    return fence.judge(guard, now, life, term, now + 1)
+    return fence.check_act(guard, now, life, term, now + 1)
 
 
-def end_by_the_holders_clock(view, end, lengths):
+def end_by_the_holders_clock(view, end, durations):
     return end
 
 
-def older_terms_get_votes(vote, now, ask, lengths, me):
-    return voter.asked(vote._replace(highest=0), now, ask, lengths, me)
+def older_terms_get_votes(vote, now, ask, durations, me):
+    return voter.on_ask(vote._replace(highest=0), now, ask, durations, me)
 
 
-def late_grants_count(one, now, grant, lengths):
-    return holder.granted(one, now, type(grant)(grant.task, grant.voter, grant.life, grant.term, one.round), lengths)
+def late_grants_count(one, now, grant, durations):
+    return holder.on_grant(one, now, type(grant)(grant.task, grant.voter, grant.life, grant.term, one.round), durations)
 
 
-def grants_to_an_earlier_life_count(one, now, grant, lengths):
-    return holder.granted(one, now, type(grant)(grant.task, grant.voter, one.life, grant.term, grant.round), lengths)
+def grants_to_an_earlier_life_count(one, now, grant, durations):
+    return holder.on_grant(one, now, type(grant)(grant.task, grant.voter, one.life, grant.term, grant.round), durations)
 
 
 def any_release_frees(vote, now, release, me):
-    return voter.released(vote._replace(term=release.term, life=release.life), now, release, me)
+    return voter.on_release(vote._replace(term=release.term, life=release.life), now, release, me)
 
 
-def leaves_without_waiting(one, now, lengths):
-    return holder.left(one, now, lengths)._replace(wake=now)
+def leaves_without_waiting(one, now, durations):
+    return holder.on_leave(one, now, durations)._replace(wake=now)
 
 
-def a_vote_given_twice(vote, now, ask, lengths, me):
-    return voter.asked(vote._replace(until=0), now, ask, lengths, me)
+def a_vote_given_twice(vote, now, ask, durations, me):
+    return voter.on_ask(vote._replace(until=0), now, ask, durations, me)
 
 
 TWO, ACTS = "two hold", "has its effect while"
@@ -98,7 +98,7 @@
 
 @pytest.mark.parametrize("broken, part, bounds, said", VARIANTS, ids=[variant[0].__name__ for variant in VARIANTS])
 def test_each_broken_variant_is_found_out(broken, part, bounds, said):
-    with pytest.raises(Broken, match=said):
+    with pytest.raises(InvariantBrokenError, match=said):
         Search(**bounds, **{part: broken}).run(15, 500_000)
 
 
--- a/tests/test_lists.py
+++ b/tests/test_lists.py
@@ -8,11 +8,11 @@
 import structlog
 import trio
 import trio.testing
-from fake_services import Discovery, echo, entry, rpc, settings, until
+from fake_services import FakeDiscovery, echo, entry, rpc, settings, until
 
 from oakfork.errors import ConnectionFailedError
 from oakfork.sockets import discovery as watches
-from oakfork.sockets.outcomes import Ending
+from oakfork.sockets.outcomes import Outcome
 
 
 def test_changes_of_the_list_are_followed(world):
@@ -85,13 +85,13 @@
         here = SimpleNamespace(
             discovery=("127.0.0.1", 1), known={}, settings=SimpleNamespace(subscribes_to_list=False, seed=seed)
         )
-        watcher, times = watches.Discovery(here, None, structlog.get_logger()), []
+        watcher, times = watches.DiscoveryClient(here, None, structlog.get_logger()), []
 
         async def refused():
             times.append(trio.current_time())
             if len(times) == 12:  # one that succeeds and then breaks
                 watcher.pause = watches.PAUSE
-            raise ConnectionFailedError(Ending.ERROR)
+            raise ConnectionFailedError(Outcome.ERROR)
 
         monkeypatch.setattr(watcher, "_watch", refused)
         with trio.move_on_after(60):
@@ -116,7 +116,7 @@
             w.process.send_signal(signal.SIGHUP)
             time.sleep(0.05)
             assert rpc(w.at)[0] == 200
-        other = Discovery([w.list[1]])  # it knows of the second server only
+        other = FakeDiscovery([w.list[1]])  # it knows of the second server only
         path.write_text(json.dumps(w.told | {"discovery": other.address}))
         w.process.send_signal(signal.SIGHUP)
         w.process.send_signal(signal.SIGHUP)
@@ -161,7 +161,7 @@
     async def connect(address, patience):
         attempts.append(trio.current_time())
         if len(attempts) % 9:  # discovery is away for long, so that the pauses have grown
-            raise ConnectionFailedError(Ending.REFUSED)
+            raise ConnectionFailedError(Outcome.REFUSED)
         await trio.sleep(patience - 0.001)
         return Silent(len(attempts) // 9 % 3)
 
@@ -174,7 +174,7 @@
         )
         monkeypatch.setattr(watches, "connect", connect)
         with trio.move_on_after(400):
-            await watches.Discovery(here, None, structlog.get_logger()).run()
+            await watches.DiscoveryClient(here, None, structlog.get_logger()).run()
 
     attempts, silences = [], []
     trio.run(watch, clock=trio.testing.MockClock(autojump_threshold=0))
--- a/tests/test_module_state_machine.py
+++ b/tests/test_module_state_machine.py
@@ -1,7 +1,7 @@
 """The decision module under drawn settings and drawn acts, the five rules checked by the world after every step."""
 
 import pytest
-from gateway_network import PLANS, World, arrival, entry, gateway_settings
+from gateway_network import PLANS, GatewayNetwork, arrival, entry, gateway_settings
 from hypothesis import HealthCheck, settings, strategies as st
 from hypothesis.stateful import (
     RuleBasedStateMachine,
@@ -54,7 +54,7 @@
         late=st.sampled_from([(0, 4_000, 15_000), (0, 300), (0,)]),
     )
     def begin(self, methods, cancel, probing, copies, subscribes_to_list, most, late, seed):
-        self.world = World(
+        self.world = GatewayNetwork(
             seed,
             3,
             6,
@@ -175,7 +175,7 @@
 
     def play(seed):
         short = Method(8_000, 30_000, RepeatSafety.DEDUPLICATED, "all", 4_000, 1.0, 0.0, False)
-        world = World(seed, 3, 6, probing=True, methods=(short, short), cancel=False)
+        world = GatewayNetwork(seed, 3, 6, probing=True, methods=(short, short), cancel=False)
         world.late = (0, 3_000, 15_000)
         world.play(12, 60)
 
--- a/tests/test_page_clients.py
+++ b/tests/test_page_clients.py
@@ -20,8 +20,8 @@
 import trio.testing
 from fake_services import (
     CUSTOMER,
-    Discovery,
-    StandIn,
+    FakeDiscovery,
+    FakeService,
     echo,
     entry,
     free_port,
@@ -38,7 +38,7 @@
 from oakfork.sockets import configuration, discovery as watches
 from oakfork.sockets.exchange import Answer
 from oakfork.sockets.http_connection import LARGEST_BODY
-from oakfork.sockets.messages import Came, Listed
+from oakfork.sockets.messages import RpcReceived, ServersListed
 
 TERMS = {"X_Call_Terms": "units=1,spread=2,first=0", "tier": "basic"}
 
@@ -64,7 +64,7 @@
 
 
 def opened(at, data):
-    sock = socket.create_connection(configuration.address(at), timeout=5)
+    sock = socket.create_connection(configuration.parse_address(at), timeout=5)
     sock.sendall(data)
     return sock
 
@@ -98,9 +98,9 @@
     def customers(where):
         return [rpc(where, path=f"/api?client={number:016x}", **TERMS)[0] for number in range(8)]
 
-    server, release = StandIn(act), threading.Event()
+    server, release = FakeService(act), threading.Event()
     rows = [entry(0, server.address)]
-    discovery, peers = Discovery(rows), [free_port(socket.SOCK_DGRAM) for _ in range(2)]
+    discovery, peers = FakeDiscovery(rows), [free_port(socket.SOCK_DGRAM) for _ in range(2)]
     both = [
         told(
             discovery.address,
@@ -265,7 +265,7 @@
 
                 async def answers():
                     async for came in inbox:
-                        if isinstance(came, Came):
+                        if isinstance(came, RpcReceived):
                             exchange = came.exchange
                             got.append(exchange)
                             exchange.answer(Answer(200, b"made for " + exchange.id + b" " + exchange.message.body))
@@ -390,7 +390,7 @@
             listener.settimeout(5)
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(
-                    watches.Discovery(here_of(listener.getsockname()), queue, structlog.get_logger()).run
+                    watches.DiscoveryClient(here_of(listener.getsockname()), queue, structlog.get_logger()).run
                 )
                 sock = None
                 for number, (said, indent) in enumerate((said, indent) for said in ANSWERS for indent in (None, 4)):
@@ -414,7 +414,7 @@
                         sock.close()
                         sock = None
                     await trio.testing.wait_all_tasks_blocked(0.01)
-                    assert inbox.receive_nowait() == Listed(False, False, [row])
+                    assert inbox.receive_nowait() == ServersListed(False, False, [row])
                 nursery.cancel_scope.cancel()
 
     trio.run(main, clock=trio.testing.MockClock())
--- a/tests/test_page_lists.py
+++ b/tests/test_page_lists.py
@@ -17,13 +17,13 @@
 
 from oakfork.errors import ConnectionFailedError
 from oakfork.sockets import discovery as watches, gateway, server_connections as network
-from oakfork.sockets.decision_loop import Keeper
-from oakfork.sockets.discovery import TOLD, Discovery
+from oakfork.sockets.decision_loop import DecisionLoop
+from oakfork.sockets.discovery import TOLD, DiscoveryClient
 from oakfork.sockets.exchange import Exchange
-from oakfork.sockets.http_connection import LARGEST_BODY, Message
-from oakfork.sockets.messages import Came, tell
-from oakfork.sockets.outcomes import Ending
-from oakfork.sockets.server_connections import Servers
+from oakfork.sockets.http_connection import LARGEST_BODY, HttpMessage
+from oakfork.sockets.messages import RpcReceived, enqueue
+from oakfork.sockets.outcomes import Outcome
+from oakfork.sockets.server_connections import ServerConnections
 
 ROWS = [entry(number, f"127.0.0.1:{1001 + number}") for number in range(4)]
 OLD, NEW = 9, 10  # ports of the agents
@@ -55,10 +55,10 @@
 
     async def connect(self, patience):
         if self.way == "refuses":
-            raise ConnectionFailedError(Ending.REFUSED)
+            raise ConnectionFailedError(Outcome.REFUSED)
         if self.way == "away":
             await trio.sleep(patience)
-            raise ConnectionFailedError(Ending.NEVER_UP)
+            raise ConnectionFailedError(Outcome.NEVER_UP)
         self.lines.append(Watch(self))
         return self.lines[-1]
 
@@ -93,12 +93,12 @@
                 self.silent = True  # for good, also where the agent comes back
                 await trio.sleep_forever()
             if self.ended:
-                raise ConnectionFailedError(Ending.ENDED)
+                raise ConnectionFailedError(Outcome.ENDED)
             if agent.way == "busy":
-                return Message(h11.Response(status_code=503, headers=[]), b"")
+                return HttpMessage(h11.Response(status_code=503, headers=[]), b"")
             if self.since is None or self.since < agent.version or trio.current_time() >= until:
                 body, self.first = agent.told(self.since, self.first), False
-                return Message(h11.Response(status_code=200, headers=[]), body)
+                return HttpMessage(h11.Response(status_code=200, headers=[]), body)
             await trio.sleep(LOOK)
 
     def renew(self):
@@ -131,14 +131,14 @@
     def renew(self):
         return True
 
-    lively = renew
+    is_reusable = renew
 
     def close(self):
         pass
 
 
 def answer(line, status=200, *headers):
-    return Message(h11.Response(status_code=status, headers=list(headers)), b"made for " + line.rpc.encode())
+    return HttpMessage(h11.Response(status_code=status, headers=list(headers)), b"made for " + line.rpc.encode())
 
 
 async def quick(line):
@@ -184,11 +184,11 @@
             method="GET" if lane == "read" else "POST", target=f"/api?client={CUSTOMER}", headers=list(fields.items())
         )
         self.asked.append(asked)
-        tell(
+        enqueue(
             self.queue,
-            Came(
+            RpcReceived(
                 Exchange(
-                    Message(head, b""),
+                    HttpMessage(head, b""),
                     self.here.names,
                     self.here.settings,
                     lambda answer: asked.answers.append((trio.current_time(), answer.status)),
@@ -218,10 +218,10 @@
         async def main():
             self.queue, inbox = trio.open_memory_channel(math.inf)
             log = structlog.get_logger()
-            self.servers = Servers(50, LARGEST_BODY, self.here.connect_patience, 15.0, ())
-            self.discovery = Discovery(self.here, self.queue, log)
+            self.servers = ServerConnections(50, LARGEST_BODY, self.here.connect_patience, 15.0, ())
+            self.discovery = DiscoveryClient(self.here, self.queue, log)
             async with trio.open_nursery() as nursery:
-                self.keeper = Keeper(
+                self.keeper = DecisionLoop(
                     self.here, inbox, self.queue, self.servers, self.discovery, None, None, nursery, log
                 )
                 for part in (self.keeper.run, self.keeper.tick, self.servers.run, self.discovery.run):
--- a/tests/test_page_tier.py
+++ b/tests/test_page_tier.py
@@ -12,7 +12,7 @@
 from oakfork import interface
 from oakfork.errors import ConnectionFailedError
 from oakfork.interface import SECOND, ServerState
-from oakfork.sockets.outcomes import Ending
+from oakfork.sockets.outcomes import Outcome
 
 SPELL, LEAST = 4.0, 15  # a gateway serves nobody: seconds on end, and requests of them all turned away
 
@@ -63,7 +63,7 @@
 
     async def before(server, patience):
         if server >= 10:
-            raise ConnectionFailedError(Ending.REFUSED)
+            raise ConnectionFailedError(Outcome.REFUSED)
 
     async def test(play):
         agent.rows.clear()
@@ -139,10 +139,10 @@
     async def before(self, server, patience):
         way = self.chance.random()
         if way < self.bad / 6:
-            raise ConnectionFailedError(Ending.REFUSED)
+            raise ConnectionFailedError(Outcome.REFUSED)
         if way < self.bad / 3:
             await trio.sleep(patience)
-            raise ConnectionFailedError(Ending.NEVER_UP)
+            raise ConnectionFailedError(Outcome.NEVER_UP)
         await trio.sleep(self.chance.choice((0.0, 0.0, self.bad * 0.2)))
 
     async def act(self, line):
@@ -154,7 +154,7 @@
             await trio.sleep(self.chance.uniform(0.2, 3))
         elif way < 0.9:
             raise ConnectionFailedError(
-                self.chance.choice((Ending.BROKEN, Ending.ENDED, Ending.MALFORMED, Ending.STALLED))
+                self.chance.choice((Outcome.BROKEN, Outcome.ENDED, Outcome.MALFORMED, Outcome.STALLED))
             )
         elif way < 1:
             return answer(line, 503, (b"x-turned-away", b"1")) if way < 0.95 else answer(line, 500)
--- a/tests/test_port_allocator.py
+++ b/tests/test_port_allocator.py
@@ -10,7 +10,7 @@
 from lab_worlds import ROOT
 
 from oakfork.errors import DrillProcessError
-from oakfork.lab.port_allocator import BLOCK, Ports, free_places, text
+from oakfork.lab.port_allocator import BLOCK, PortAllocator, free_addresses, text
 
 RANGE = 9_000, 9_000 + 4 * BLOCK  # of these tests alone: below the range that all others take from
 ASK = """
@@ -37,13 +37,13 @@
         ports = [port for process in asked for port in process.stdout.readline().split()]
         assert len(ports) == len(set(ports)) == 400
         with pytest.raises(DrillProcessError, match="claimed"):
-            Ports(*RANGE)
-    ours = Ports(*RANGE)  # all have ended, and nothing of their claims is left
+            PortAllocator(*RANGE)
+    ours = PortAllocator(*RANGE)  # all have ended, and nothing of their claims is left
     ours.claim.close()
 
 
 def test_ports_come_in_turn_and_taken_ones_are_left_out():
-    ours = Ports(RANGE[0] - BLOCK, RANGE[0] - BLOCK + 20)
+    ours = PortAllocator(RANGE[0] - BLOCK, RANGE[0] - BLOCK + 20)
     with ExitStack() as stack:
         stack.callback(ours.claim.close)
         first = ours.free(5, socket.SOCK_STREAM)
@@ -57,11 +57,11 @@
 
 
 def test_a_child_made_by_a_fork_has_a_block_of_its_own():
-    before = free_places(1, socket.SOCK_STREAM)[0]
+    before = free_addresses(1, socket.SOCK_STREAM)[0]
     reader, writer = os.pipe()
     child = os.fork()
     if child == 0:
-        os.write(writer, text(free_places(1, socket.SOCK_STREAM)[0]).encode())
+        os.write(writer, text(free_addresses(1, socket.SOCK_STREAM)[0]).encode())
         os._exit(0)
     os.waitpid(child, 0)
     port = int(os.read(reader, 100).decode().rpartition(":")[2])
