--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -2,7 +2,7 @@
 
 import pytest
 from decision_modules import ended, frame_of, gateway, kinds, owned_by
-from gateway_network import METHODS, PLANS, World, arrival
+from gateway_network import METHODS, PLANS, GatewayNetwork, arrival
 
 from oakfork import interface, peer_codec as wire
 from oakfork.interface import SECOND
@@ -10,7 +10,7 @@
 
 def test_a_ceiling_holds_when_no_gateway_hears_another():
     for seed in range(4):
-        world = World(seed, 3, 9, trouble=False)
+        world = GatewayNetwork(seed, 3, 9, trouble=False)
         world.cut, sent = True, 0
         world.now += 5 * SECOND  # the buckets have filled since the start
         for rpc in range(900):  # one customer asks for all it can get through all its gateways
--- a/tests/test_scale_added_latency.py
+++ b/tests/test_scale_added_latency.py
@@ -21,18 +21,18 @@
 
 # All that traced.py wraps, by the name that the program gives it.
 WRAPPED = {
-    "oakfork.sockets.http_connection.Link.fill": "coroutine",
-    "oakfork.sockets.http_connection.Link.write": "coroutine",
-    "oakfork.sockets.http_connection.Link._push": "plain",
-    "oakfork.sockets.client_connections.Client._take": "plain",
+    "oakfork.sockets.http_connection.HttpConnection.fill": "coroutine",
+    "oakfork.sockets.http_connection.HttpConnection.write": "coroutine",
+    "oakfork.sockets.http_connection.HttpConnection._push": "plain",
+    "oakfork.sockets.client_connections.ClientConnection._take": "plain",
     "oakfork.sockets.exchange.Exchange.answer": "plain",
-    "oakfork.sockets.decision_loop.Keeper._take": "plain",
-    "oakfork.sockets.decision_loop.Keeper._send": "plain",
-    "oakfork.sockets.decision_loop.Keeper._finish": "plain",
-    "oakfork.sockets.decision_loop.Keeper._call_out": "coroutine",
-    "oakfork.sockets.server_connections.Servers.call": "coroutine",
-    "oakfork.sockets.server_connections.Servers._new": "coroutine",
-    "oakfork.sockets.peers.Peers.tell": "plain",
+    "oakfork.sockets.decision_loop.DecisionLoop._take": "plain",
+    "oakfork.sockets.decision_loop.DecisionLoop._send": "plain",
+    "oakfork.sockets.decision_loop.DecisionLoop._finish": "plain",
+    "oakfork.sockets.decision_loop.DecisionLoop._call_out": "coroutine",
+    "oakfork.sockets.server_connections.ServerConnections.call": "coroutine",
+    "oakfork.sockets.server_connections.ServerConnections._new": "coroutine",
+    "oakfork.sockets.peers.PeerSocket.tell": "plain",
     "oakfork.decision.quotas.Quotas.received": "plain",
     "oakfork.decision.quotas.Quotas.admit": "generator",
     "oakfork.decision.rpcs.DecisionModule._look": "generator",
@@ -234,7 +234,7 @@
         "tracing_p50_ms": 0.5,
         "tracing_p99_ms": 0.0,
     }
-    with pytest.raises(added_latency.RigError, match="direct"):
+    with pytest.raises(added_latency.DrillProcessError, match="direct"):
         added_latency.client_of([], served, "direct")
 
 
@@ -287,7 +287,7 @@
     ]
     answers = []
     for number, (method, path, fields, body) in enumerate(asked):
-        link = http.client.HTTPConnection(*configuration.address(tier.listens[0]), timeout=20)
+        link = http.client.HTTPConnection(*configuration.parse_address(tier.listens[0]), timeout=20)
         link.request(method, path, body, whole | {"X-Txn": f"{number:016x}"} | fields)
         answer = link.getresponse()
         headers = {name.lower(): value for name, value in answer.getheaders()}
--- a/tests/test_scale_frames.py
+++ b/tests/test_scale_frames.py
@@ -10,10 +10,10 @@
 
 from oakfork import peer_codec as wire
 from oakfork.configuration_schema import SERVER
-from oakfork.lab.fake_services import DiscoveryStandIn
+from oakfork.lab.fake_services import FakeDiscovery
 from oakfork.lab.scale import peer_frames, server_lists
-from oakfork.sockets.configuration import address
-from oakfork.sockets.http_connection import LARGEST_BODY, Message
+from oakfork.sockets.configuration import parse_address
+from oakfork.sockets.http_connection import LARGEST_BODY, HttpMessage
 
 # What oakfork/lab/scale's page reads.
 STARTS = [
@@ -126,7 +126,11 @@
     assert len({row["id"] for row in rows}) == 41_000 and {row["state"] for row in rows} == {"up"}
     assert {row["state"] for row in changes} == {"up", "draining", "removed"}
     for row in rows[:300] + changes:
-        assert list(row) == example and Draft202012Validator(SERVER).is_valid(row) and address(row["addr"])[1] == 8443
+        assert (
+            list(row) == example
+            and Draft202012Validator(SERVER).is_valid(row)
+            and parse_address(row["addr"])[1] == 8443
+        )
         assert len(row["id"]) == len("s-5be2a07c")
 
 
@@ -134,12 +138,12 @@
     rows = server_lists.rows(20, 1)
 
     async def answered():
-        with closing((stand_in := DiscoveryStandIn(rows)).sock):
+        with closing((stand_in := FakeDiscovery(rows)).sock):
             calls = [
                 h11.Request(method="GET", target=f"/api/targets{query}", headers=[("Host", "a")])
                 for query in ("", "?from=0&hold_ms=1")
             ]
-            return [(await stand_in.answer(Message(call, b"")))[1] for call in calls]
+            return [(await stand_in.answer(HttpMessage(call, b"")))[1] for call in calls]
 
     assert trio.run(answered) == [server_lists.body(1, True, rows), server_lists.body(1, False, rows)]
     compact = server_lists.body(1, True, rows, compact=True)
--- a/tests/test_scale_process.py
+++ b/tests/test_scale_process.py
@@ -42,13 +42,13 @@
     with pytest.raises(ProcessLookupError):
         os.kill(child.pid, 0)
     with closing(socket.socket()) as sock, pytest.raises(ConnectionRefusedError):
-        sock.connect(configuration.address(told["listen"]))
+        sock.connect(configuration.parse_address(told["listen"]))
 
 
 def test_a_process_that_ends_is_told_with_its_log(tmp_path):
     told = process_costs.configuration(1, 3)
     with closing(socket.socket()) as taken:
-        taken.bind(configuration.address(told["listen"]))
+        taken.bind(configuration.parse_address(told["listen"]))
         path = written(tmp_path, told)
         with (
             process_costs.child(path) as child,
@@ -69,12 +69,14 @@
 def test_what_a_process_is_told_is_a_configuration_of_that_size_with_nobody_elsewhere(tmp_path):
     told = process_costs.configuration(1000, 300)
     assert not faults_in(told)
-    here = configuration.read({"LB_CONFIG": str(written(tmp_path, told))})
+    here = configuration.read_configuration({"LB_CONFIG": str(written(tmp_path, told))})
     assert (
         len(here.peers) == len(set(here.peers)) == here.settings.gateways == 300 and here.peers[0] == here.peer_listen
     )
     assert len({row["addr"] for row in here.known["servers"]}) == 1000 and not here.settings.probing
-    hosts = {configuration.address(row["addr"])[0] for row in here.known["servers"]} | {host for host, _ in here.peers}
+    hosts = {configuration.parse_address(row["addr"])[0] for row in here.known["servers"]} | {
+        host for host, _ in here.peers
+    }
     assert all(host.startswith("127.") for host in hosts)
 
 
--- a/tests/test_signals.py
+++ b/tests/test_signals.py
@@ -10,7 +10,7 @@
 from contextlib import contextmanager
 
 import pytest
-from fake_services import CUSTOMER, Discovery, connection, echo, headers, rpc, until
+from fake_services import CUSTOMER, FakeDiscovery, connection, echo, headers, rpc, until
 from lab_worlds import ROOT
 
 RUN = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["run"].replace(".venv/bin/python", sys.executable)
@@ -60,7 +60,7 @@
 @pytest.mark.parametrize("at_import", [True, False])
 def test_sighup_in_the_first_instants_ends_nothing_and_is_not_forgotten(world, tmp_path, at_import):
     w = world(echo)
-    other = Discovery([w.list[0]])
+    other = FakeDiscovery([w.list[0]])
     new = w.told | {"discovery": other.address}
     with held(tmp_path, w.told, at_import) as (process, path, go_on):
         (tmp_path / "new.json").write_text(json.dumps(new))
@@ -110,7 +110,7 @@
 
 def test_a_configuration_that_is_half_written_at_sighup_is_read_when_it_is_whole(world):
     with world(echo) as w:
-        other = Discovery([w.list[0]])
+        other = FakeDiscovery([w.list[0]])
         path, text = w.folder / "n0.json", json.dumps(w.told | {"discovery": other.address})
         path.write_text(text[: len(text) // 2])
         w.process.send_signal(signal.SIGHUP)
