--- a/experiments/readiness.py
+++ b/experiments/readiness.py
@@ -13,7 +13,7 @@
 import urllib.request
 from pathlib import Path
 
-from oakfork.lab.gateway_processes import free_places, text
+from oakfork.lab.gateway_processes import free_addresses, text
 
 ROOT = Path(__file__).resolve().parent.parent
 
@@ -22,7 +22,7 @@
     told = json.loads((ROOT / "deploy/example.json").read_text())
     os.sched_setaffinity(0, sorted(os.sched_getaffinity(0))[:cores])
     with tempfile.TemporaryDirectory() as folder:
-        places = [text(place) for place in free_places(number, 1)]
+        places = [text(place) for place in free_addresses(number, 1)]
         processes, begun, ready = [], time.monotonic(), {}
         try:
             for index, place in enumerate(places):
--- a/oakfork/contracts/admission.py
+++ b/oakfork/contracts/admission.py
@@ -1,6 +1,6 @@
 """Which leg is inside reserved capacity, and which must wait, at one gateway. Pure: time is an argument.
 
-Each tenant in its window has a bucket that fills at the gateway's part (`parts`), refilled and taken in one step.
+Each tenant in its window has a bucket that fills at the gateway's part (`shares`), refilled and taken in one step.
 All legs to a site draw on a bucket of what it can do, of which this gateway has a part like any contract's. A reserved
 leg may draw it down to below nothing by its burst; any other has to leave in it what the tenants could take in
 `BACK`. So what is reserved and idle is lent by itself, and is back within `BACK` of being asked for.
--- a/oakfork/contracts/allocation.py
+++ b/oakfork/contracts/allocation.py
@@ -1,5 +1,5 @@
 """Deals a contract's parts by recent demand. Pure. What is dealt is advice on who lends to whom: that the parts
-never sum to more than the contract does not rest on it (`parts`)."""
+never sum to more than the contract does not rest on it (`shares`)."""
 
 from typing import Mapping, NamedTuple, Sequence
 
--- a/oakfork/lab/scale/control_costs.py
+++ b/oakfork/lab/scale/control_costs.py
@@ -1,8 +1,8 @@
 """Group "control": how changes reach every gateway (oakfork/control), at several numbers of hollow gateways: real
-processes over loopback on one machine, played by fleetplay.py and judged by fleetwitness.py.
+processes over loopback on one machine, played by fleet_run.py and judged by fleet_verifier.py.
 
 At each size: at rest, single changes, one relay gone. At the largest, which is played first, also the bursts, real
-gateways beside and a cold zone. controlfaults.py has the play of faults.
+gateways beside and a cold zone. control_faults.py has the play of faults.
 The time to everywhere holds the processors' share that one machine has for all: it is no less than on many.
 """
 
--- a/oakfork/lab/scale/fleet_run.py
+++ b/oakfork/lab/scale/fleet_run.py
@@ -1,5 +1,5 @@
 """A publisher, relays and processes of hollow gateways on loopback: started, loaded with change sets, struck by faults
-that a seed draws, watched and ended. fleetwitness.py judges. Every wait is bounded, nothing is left running.
+that a seed draws, watched and ended. fleet_verifier.py judges. Every wait is bounded, nothing is left running.
 """
 
 import json
--- a/oakfork/lab/scale/generated_state.py
+++ b/oakfork/lab/scale/generated_state.py
@@ -1,7 +1,7 @@
 """A made-up state of a given size, and change sets upon it, from a seed: the same in every process that is told so.
 
-No value comes twice and no name is dropped twice: what hollow followers share (hollow.py) rests on that. Each change
-set that is `paired` also puts two tenants of equal records, so that half a change set shows.
+No value comes twice and no name is dropped twice: what hollow followers share (hollow_gateways.py) rests on that. Each
+change set that is `paired` also puts two tenants of equal records, so that half a change set shows.
 """
 
 import json
--- a/oakfork/lab/scale/hollow_gateways.py
+++ b/oakfork/lab/scale/hollow_gateways.py
@@ -46,13 +46,14 @@
 
 class Config(msgspec.Struct):
     sizes: generated_state.Sizes
-    start: Position  # where those that aren't cold stand, with the state of `made`
+    start: Position  # where those that aren't cold stand, with the state of `generated_state`
     followers: list[One]
 
 
 class Values:
     """Of all records, at the positions that any follower of this process has come to. Right as long as no value comes
-    again after another (made.py): then between two positions a record either changed, and differs, or did not."""
+    again after another (generated_state.py): then between two positions a record either changed, and differs, or did
+    not."""
 
     def __init__(self, base: Mapping[Key, bytes], at: Position) -> None:
         self.base, self.at = base, at
--- a/oakfork/lab/scale/module_costs.py
+++ b/oakfork/lab/scale/module_costs.py
@@ -1,7 +1,7 @@
 """Group "module": the cost of the decision module by itself (oakfork/decision), by servers, peers, customers and plans.
 
 A module is driven on a virtual clock until it is at rest, then through the units below; what it was told is told
-again to another one of the same birth, and that one is measured (modulerig.py). So counts are the same each time.
+again to another one of the same birth, and that one is measured (module_driver.py). So counts are the same each time.
 """
 
 import json
--- a/tests/test_scale_added_latency.py
+++ b/tests/test_scale_added_latency.py
@@ -19,7 +19,7 @@
 from oakfork.lab.scale.traced_gateway import ASK, CALL_OUT, PARTS, QUEUE, WAY_BACK, Record, Trace
 from oakfork.sockets import configuration
 
-# All that traced.py wraps, by the name that the program gives it.
+# All that traced_gateway.py wraps, by the name that the program gives it.
 WRAPPED = {
     "oakfork.sockets.http_connection.HttpConnection.fill": "coroutine",
     "oakfork.sockets.http_connection.HttpConnection.write": "coroutine",
