--- a/experiments/same_commands.py
+++ b/experiments/same_commands.py
@@ -16,7 +16,7 @@
 from typing import get_args
 
 from oakfork import interface
-from oakfork.brain import Brain
+from oakfork.decision import DecisionModule
 from oakfork.lab.experiment import read
 from oakfork.lab.world import World
 
@@ -50,8 +50,8 @@
     digest = hashlib.sha256()
     events = commands = 0
 
-    def __init__(self, settings: interface.Birth, now: int) -> None:
-        self.module = Brain(settings, now)
+    def __init__(self, settings: interface.GatewaySettings, now: int) -> None:
+        self.module = DecisionModule(settings, now)
 
     @classmethod
     def reset(cls) -> None:
--- a/oakfork/command.py
+++ b/oakfork/cli.py
@@ -17,16 +17,16 @@
 
 from oakfork import __version__
 from oakfork.errors import (
-    MISTAKE,
-    WRONG,
-    BookError,
+    EXIT_FAILURE,
+    EXIT_USAGE,
     ConfigurationError,
+    ContractsFileError,
+    DrillProcessError,
     ExperimentError,
     FleetError,
-    LoadError,
+    LoadSettingsError,
     OakforkError,
-    RigError,
-    lines,
+    error_lines,
 )
 
 
@@ -56,25 +56,25 @@
         except click.ClickException as error:
             _fail(error.format_message())
         except click.Abort:
-            _fail("interrupted", WRONG)
+            _fail("interrupted", EXIT_FAILURE)
         except BrokenPipeError:
             sys.stderr.close()
-            sys.exit(WRONG)
+            sys.exit(EXIT_FAILURE)
         sys.exit(status if isinstance(status, int) else 0)
 
 
-def _fail(text: str, status: int = MISTAKE) -> None:
+def _fail(text: str, status: int = EXIT_USAGE) -> None:
     for line in text.splitlines() or [""]:
         click.echo(f"oakfork: {line}", err=True)
     sys.exit(status)
 
 
 def _refuse(error: OakforkError, where: str = "", faults: list[str] | None = None) -> None:
-    _fail(lines(error, where, faults), error.status)
+    _fail(error_lines(error, where, faults), error.status)
 
 
 @click.group(
-    cls=Group, later={"control": "oakfork.control.command"}, context_settings={"help_option_names": ["-h", "--help"]}
+    cls=Group, later={"control": "oakfork.control.cli"}, context_settings={"help_option_names": ["-h", "--help"]}
 )
 @click.version_option(__version__, message="%(version)s")
 def main() -> None:
@@ -97,8 +97,8 @@
 
 def _faults(path: str) -> list[str]:
     """All that the schema or the gateway's own reading finds wrong in a configuration."""
-    from oakfork.format import faults_in
-    from oakfork.sockets.configuration import read
+    from oakfork.configuration_schema import faults_in
+    from oakfork.sockets.configuration import read_configuration
 
     try:
         told = json.loads(Path(path).read_bytes())
@@ -107,7 +107,7 @@
     if faults := faults_in(told):
         return faults
     try:
-        read({"LB_CONFIG": path})
+        read_configuration({"LB_CONFIG": path})
     except ConfigurationError as error:
         return [f"the file: {error}"]
     return []
@@ -126,7 +126,7 @@
             click.echo(f"{config}: {fault}", err=True)
         if not faults:
             click.echo(f"{config}: usable")
-    return MISTAKE if faults else 0
+    return EXIT_USAGE if faults else 0
 
 
 @main.group()
@@ -145,7 +145,7 @@
 @click.argument("file", type=click.Path(dir_okay=False))
 def fleet_check(file: str) -> None:
     """Check a fleet file: its edition, or each fault by its path."""
-    from oakfork.fleet.file import read
+    from oakfork.fleet.config import read
 
     try:
         told = read(file)
@@ -163,18 +163,18 @@
 @click.argument("file", type=click.Path(dir_okay=False))
 def contracts_check(file: str) -> None:
     """Check a book of contracts: each fault by its path, or the instant at which too much is reserved."""
-    from oakfork.contracts.book import read
+    from oakfork.contracts.contracts_file import read
 
     try:
         book = read(file)
-    except BookError as error:
+    except ContractsFileError as error:
         _refuse(error, file)
     click.echo(
         f"{file}: usable, {len(book.contracts)} contracts, {len(book.sites)} sites, " f"{book.capacity:g} legs a second"
     )
 
 
-@main.group(cls=Later, later={"scale": "oakfork.lab.scale.command"})
+@main.group(cls=Later, later={"scale": "oakfork.lab.scale.cli"})
 def lab() -> None:
     """The laboratory: a model of the gateways' world, experiments with it, load on real gateways."""
     _needs("hdrh", "numpy", "scipy", what="lab")
@@ -229,7 +229,7 @@
     if not as_json:
         for line in result["lines"]:
             click.echo("  " + line)
-    return WRONG if result["broken"] else 0
+    return EXIT_FAILURE if result["broken"] else 0
 
 
 @lab.command("sweep")
@@ -250,9 +250,9 @@
     try:
         failed = Sweep(experiment, Path(folder), workers).run(told)
     except OSError as error:
-        _fail(f"{folder}: {error}", WRONG)
+        _fail(f"{folder}: {error}", EXIT_FAILURE)
     click.echo(f"{len(experiment.runs)} runs, {failed} failed, in {folder}")
-    return WRONG if failed else 0
+    return EXIT_FAILURE if failed else 0
 
 
 @lab.command("compare")
@@ -313,20 +313,20 @@
 @click.option("--keep", type=click.Path(file_okay=False), help="A folder for the record of each drill.")
 def lab_drill_leases(seeds: tuple[int, ...], keep: str | None, **told: Any) -> int:
     """Kill, stop, cut and delay gateways that take turns at one task; say what the witness saw."""
-    from oakfork.lab.drills import lease_drill
+    from oakfork.lab.lease_drill import lease_drill
 
     broken = 0
     for seed in seeds:
         try:
             drill = lease_drill(seed, keep=Path(keep) if keep else None, **told)
-        except RigError as error:
+        except DrillProcessError as error:
             _refuse(error)
         click.echo(
             f"seed {seed}: {len(drill.done)} troubles, {drill.acts} acts in {drill.terms} terms, "
             f"{sum(drill.refused.values())} refused; " + ("; ".join(drill.faults) or "no overlap, terms grow")
         )
         broken += bool(drill.faults)
-    return WRONG if broken else 0
+    return EXIT_FAILURE if broken else 0
 
 
 @lab_drill.command("contracts")
@@ -345,11 +345,11 @@
 @click.option("--gateways", type=click.IntRange(3, 64), default=3, show_default=True)
 def lab_drill_contracts(**told: Any) -> None:
     """All others ask for three times what the sites can do; say what a tenant got of what is reserved, by second."""
-    from oakfork.lab.contractdrill import RESERVED, contract_drill
+    from oakfork.lab.contract_drill import RESERVED, contract_drill
 
     try:
         drill = contract_drill(**told)
-    except RigError as error:
+    except DrillProcessError as error:
         _refuse(error)
     click.echo(
         f"{drill.kind}, {drill.policy}: the tenant has {RESERVED:g} legs a second reserved, asked for "
@@ -372,14 +372,14 @@
 @click.option("--json", "as_json", is_flag=True, help="The result as JSON.")
 def lab_load(gateways: tuple[str, ...], as_json: bool, **told: Any) -> int:
     """Send an open-loop load to real gateways on loopback addresses, HOST:PORT each."""
-    from oakfork.lab.load import Load, run
+    from oakfork.lab.load_generator import LoadSettings, run
 
     try:
-        report = run(Load(gateways=gateways, **told))
-    except LoadError as error:
+        report = run(LoadSettings(gateways=gateways, **told))
+    except LoadSettingsError as error:
         _refuse(error)
     click.echo(json.dumps(dataclasses.asdict(report)) if as_json else report.text())
-    return WRONG if report.answers.get("none") else 0
+    return EXIT_FAILURE if report.answers.get("none") else 0
 
 
 if __name__ == "__main__":
--- a/oakfork/control/file.py
+++ b/oakfork/control/config.py
@@ -6,11 +6,11 @@
 from pathlib import Path
 from typing import Any
 
-from oakfork.control.feeder import EGRESS, LINKS
-from oakfork.control.store import MOST_IDS, MOST_LOG
-from oakfork.errors import ControlError
-from oakfork.format import ADDRESS, against, read_toml
-from oakfork.sockets.configuration import Address, address
+from oakfork.configuration_schema import ADDRESS, against, read_toml
+from oakfork.control.database import MOST_IDS, MOST_LOG
+from oakfork.control.follower_server import EGRESS, LINKS
+from oakfork.errors import ControlConfigError
+from oakfork.sockets.configuration import Address, parse_address
 
 LARGEST_FILE = 64 * 1024
 NAME = {"type": "string", "pattern": "^[a-z0-9][a-z0-9-]{0,47}(?!\n)$"}
@@ -133,7 +133,7 @@
     return PublisherFile(
         told["name"],
         told["region"],
-        address(told["listen"]),
+        parse_address(told["listen"]),
         told["database"],
         bounds.get("egress_bytes_per_s", EGRESS),
         bounds.get("connections", LINKS),
@@ -151,7 +151,7 @@
     return RelayFile(
         told["name"],
         told["region"],
-        address(told["listen"]),
+        parse_address(told["listen"]),
         tuple(told["upstreams"]),
         bounds.get("egress_bytes_per_s", EGRESS),
         bounds.get("connections", LINKS),
@@ -159,7 +159,7 @@
 
 
 def _checked(schema: dict[str, Any], path: str | Path) -> dict[str, Any]:
-    told = read_toml(path, LARGEST_FILE, ControlError)[0]
+    told = read_toml(path, LARGEST_FILE, ControlConfigError)[0]
     faults = against(schema, told)
     if not faults:
         places = {"listen": told["listen"]} | {
@@ -169,5 +169,5 @@
         if told["listen"] in told.get("upstreams", ()):
             faults.append("upstreams: it would follow itself")
     if faults:
-        raise ControlError(faults)
+        raise ControlConfigError(faults)
     return told
--- a/oakfork/control/running.py
+++ b/oakfork/control/processes.py
@@ -7,24 +7,24 @@
 import trio
 from structlog.stdlib import BoundLogger
 
-from oakfork.control import schema
+from oakfork.control import change_schema
+from oakfork.control.config import PublisherFile, RelayFile
+from oakfork.control.connections import listen
+from oakfork.control.database import Database
+from oakfork.control.engine import Engine, serve
 from oakfork.control.events import InForce
-from oakfork.control.feeder import Feeder
-from oakfork.control.file import PublisherFile, RelayFile
 from oakfork.control.follower import Follower
-from oakfork.control.links import listen
+from oakfork.control.follower_server import FollowerServer
 from oakfork.control.publisher import Publisher
 from oakfork.control.relay import Relay
-from oakfork.control.service import Engine, serve
 from oakfork.control.state import Records
-from oakfork.control.store import Database
 
 MOST_RELAYS = 64  # named in a status
 
 
-def with_more(told: bytes, feeder: Feeder, engine: Engine) -> bytes:
+def with_more(told: bytes, follower_server: FollowerServer, engine: Engine) -> bytes:
     """A status, and what only who drives the machine knows."""
-    relays = [below for below in feeder.roster.links.values() if below.relay]
+    relays = [below for below in follower_server.registry.links.values() if below.relay]
     return json.dumps(
         json.loads(told)
         | {
@@ -43,27 +43,27 @@
     engine: Engine
 
     def status(self, now: int) -> bytes:
-        return with_more(super().status(now), self.feeder, self.engine)
+        return with_more(super().status(now), self.follower_server, self.engine)
 
 
 class _Relay(Relay):
     engine: Engine
 
     def status(self, now: int) -> bytes:
-        return with_more(super().status(now), self.feeder, self.engine)
+        return with_more(super().status(now), self.follower_server, self.engine)
 
 
 def publisher_engine(file: PublisherFile, database: Database, log: BoundLogger) -> Engine:
     """A publisher of a new term, upon what its database holds; the term is durable when this returns. Waits for the
     disk: call it in a thread."""
     loaded, database.loaded = database.loaded, None
-    index = schema.Index(loaded.records)
+    index = change_schema.StateIndex(loaded.records)
     machine = _Publisher(
         file.who,
         database.begin_term(file.above_term),
         loaded.position,
         loaded.records,
-        schema.parse,
+        change_schema.parse,
         lambda store, rows: index.contradictions(rows),
         entries=loaded.entries,
         ids=loaded.ids,
@@ -90,7 +90,7 @@
 
 
 async def publisher(file: PublisherFile, log: BoundLogger) -> None:
-    """Raises AddressTaken and DatabaseError."""
+    """Raises AddressInUseError and DatabaseError."""
     listener = listen(file.listen)
     database = await trio.to_thread.run_sync(Database, file.database, file.log_sets, file.ids)
     try:
@@ -101,7 +101,7 @@
 
 
 async def relay(file: RelayFile, log: BoundLogger) -> None:
-    """Raises AddressTaken."""
+    """Raises AddressInUseError."""
     await serve(relay_engine(file, log), listen(file.listen), log)
 
 
--- a/oakfork/lab/stage.py
+++ b/oakfork/lab/environment.py
@@ -3,21 +3,21 @@
 from dataclasses import dataclass, field
 from typing import Any, Callable, Mapping, Protocol, Sequence
 
-from oakfork import interface as face
-from oakfork.lab.checker import Checker, Watched
-from oakfork.lab.clock import Loop
-from oakfork.lab.fleet import Job, Server
-from oakfork.lab.plan import WorldPlan
-from oakfork.lab.tally import Tally
+from oakfork import interface
+from oakfork.lab.event_loop import EventLoop
+from oakfork.lab.invariant_checker import InvariantChecker, WatchedRpc
+from oakfork.lab.run_metrics import RunMetrics
+from oakfork.lab.server_model import Job, Server
+from oakfork.lab.world_config import WorldConfig
 
 
 class Policy(Protocol):
     """What decides: the decision module, or a baseline in its place."""
 
-    def handle(self, now: int, event: face.Event) -> Sequence[face.Command]: ...
+    def handle(self, now: int, event: interface.Event) -> Sequence[interface.Command]: ...
 
 
-Decide = Callable[[face.Birth, int], Policy]
+PolicyFactory = Callable[[interface.GatewaySettings, int], Policy]
 
 
 @dataclass(slots=True)
@@ -35,7 +35,7 @@
     """One RPC at its gateway."""
 
     rpc: int
-    watched: Watched
+    watched: WatchedRpc
     units: float
     answered: Callable[[str, int], None]  # called with the answer's word and the advice
     index: int = -1
@@ -44,7 +44,7 @@
     sent: int = 0
 
 
-class Host(Protocol):
+class GatewayHost(Protocol):
     """A gateway as the world sees it."""
 
     number: int
@@ -52,26 +52,26 @@
     life: int
     up: bool
 
-    def handle(self, event: face.Event, index: int | None = None) -> None: ...
+    def handle(self, event: interface.Event, index: int | None = None) -> None: ...
 
 
-class Counting(Protocol):
-    def call(self, gateway: Any, call: face.Count) -> None: ...
+class CounterService(Protocol):
+    def call(self, gateway: Any, call: interface.AddToCounter) -> None: ...
 
 
-class Stage(Protocol):
+class GatewayEnvironment(Protocol):
     """The world as a gateway of the model sees it."""
 
-    plan: WorldPlan
-    loop: Loop
-    checker: Checker
-    tally: Tally
-    decide: Decide
-    counter: Counting
+    plan: WorldConfig
+    loop: EventLoop
+    checker: InvariantChecker
+    metrics: RunMetrics
+    decide: PolicyFactory
+    counter: CounterService
 
     @property
     def servers(self) -> Mapping[int, Server]: ...
-    def birth(self, index: int, zone: int) -> face.Birth: ...
+    def gateway_settings(self, index: int, zone: int) -> interface.GatewaySettings: ...
     def distance(self, one: int, other: int) -> int: ...
     def frame(self, sender: Any, peer: int, data: bytes) -> None: ...
     def reach(self, gateway: Any, exchange: Exchange, call_out: CallOut, fresh: bool, life: int) -> None: ...
--- a/oakfork/lab/rig.py
+++ b/oakfork/lab/gateway_processes.py
@@ -16,17 +16,17 @@
 import tomli_w
 import trio
 
-from oakfork.errors import RigError
-from oakfork.lab.ports import free_places, text
-from oakfork.lab.relay import Relays, socket_here
-from oakfork.lab.schedule import HOLDER, Trouble
-from oakfork.lab.witness import Witness
+from oakfork.errors import DrillProcessError
+from oakfork.lab.datagram_relay import DatagramRelays, socket_here
+from oakfork.lab.fault_schedule import HOLDER, Trouble
+from oakfork.lab.fenced_resource import FencedResource
+from oakfork.lab.port_allocator import free_addresses, text
 
 WITNESS = "witness"
 READY = 20.0  # seconds in which a process has to be ready
 
 
-class Rig:
+class GatewayProcesses:
     """`configure(index, listen)` gives a gateway's configuration, `fleet(index, addresses, witness)` its fleet file."""
 
     def __init__(
@@ -40,12 +40,12 @@
     ) -> None:
         self.folder, self.gateways, self.seed = folder, gateways, seed
         self.configure, self.fleet, self.extra = configure, fleet, extra or {}
-        places: dict[Any, tuple[str, int]] = dict(enumerate(free_places(gateways, socket.SOCK_DGRAM)))
+        places: dict[Any, tuple[str, int]] = dict(enumerate(free_addresses(gateways, socket.SOCK_DGRAM)))
         sock = socket_here()
-        self.witness = Witness(sock, seed)
+        self.witness = FencedResource(sock, seed)
         places[WITNESS] = sock.getsockname()
-        self.relays = Relays(places, seed)
-        self.listens = [text(place) for place in free_places(gateways, socket.SOCK_STREAM)]
+        self.relays = DatagramRelays(places, seed)
+        self.listens = [text(place) for place in free_addresses(gateways, socket.SOCK_STREAM)]
         self.processes: list[subprocess.Popen | None] = [None] * gateways
         self.stopped: set[int] = set()
         self.log: list[str] = []  # what was done, as many lines as troubles
@@ -85,17 +85,19 @@
             self.processes[index].wait(5)
 
     async def ready(self) -> None:
-        """All processes are serving, or RigError."""
+        """All processes are serving, or DrillProcessError."""
         with trio.move_on_after(READY) as scope:
             for index in range(self.gateways):
                 while b'"serving"' not in (self.folder / f"n{index}.log").read_bytes():
                     if self.processes[index].poll() is not None:
-                        raise RigError(f"gateway {index} ended: {(self.folder / f'n{index}.log').read_text()[-400:]}")
+                        raise DrillProcessError(
+                            f"gateway {index} ended: {(self.folder / f'n{index}.log').read_text()[-400:]}"
+                        )
                     await trio.sleep(0.02)
         if scope.cancelled_caught:
-            raise RigError(f"not all {self.gateways} gateways were ready within {READY:.0f} s")
+            raise DrillProcessError(f"not all {self.gateways} gateways were ready within {READY:.0f} s")
 
-    async def run(self, play: Callable[["Rig"], Any]) -> Any:
+    async def run(self, play: Callable[["GatewayProcesses"], Any]) -> Any:
         """Starts all, plays, ends all."""
         result, failed = None, None
         try:
@@ -107,7 +109,7 @@
                 try:
                     await self.ready()
                     result = await play(self)
-                except RigError as error:  # by itself, not inside the nursery's group
+                except DrillProcessError as error:  # by itself, not inside the nursery's group
                     failed = error
                 nursery.cancel_scope.cancel()
         finally:
@@ -115,7 +117,7 @@
                 with suppress(OSError, subprocess.TimeoutExpired):
                     self.kill(index)
         if failed:
-            raise RigError(str(failed)) from failed
+            raise DrillProcessError(str(failed)) from failed
         return result
 
     # Troubles. Each undoes itself after its time.
--- a/oakfork/lab/scale/addedtier.py
+++ b/oakfork/lab/scale/added_latency_gateways.py
@@ -14,19 +14,19 @@
 import tomli_w
 import trio
 
-from oakfork.errors import Break, RigError
-from oakfork.lab.load import Generator, Load
-from oakfork.lab.ports import free_places, text
-from oakfork.lab.relay import Relays
-from oakfork.lab.scale import traced
-from oakfork.lab.scale.addedparties import ROOT
-from oakfork.sockets.heads import Link, connect, plain
+from oakfork.errors import ConnectionFailedError, DrillProcessError
+from oakfork.lab.datagram_relay import DatagramRelays
+from oakfork.lab.load_generator import LoadGenerator, LoadSettings
+from oakfork.lab.port_allocator import free_addresses, text
+from oakfork.lab.scale import traced_gateway
+from oakfork.lab.scale.added_latency_backends import ROOT
+from oakfork.sockets.http_connection import HttpConnection, connect, request_head
 
 READY = 60.0  # seconds in which the gateways of a tier have to be ready
 LEAVING = 12.0  # seconds in which they have to leave
 CUSTOMERS, METHOD, PLAN = 100, "read", "basic"
 MAIL_PER_S = 100.0  # frames that a gateway takes in; the module paces those to one peer by it
-PROGRAM, TRACED = "oakfork", traced.__name__
+PROGRAM, TRACED = "oakfork", traced_gateway.__name__
 
 
 def settings(aim_ms: float) -> dict[str, Any]:
@@ -83,10 +83,10 @@
         fleet: Callable[[int, list[str]], dict[str, Any]] | None = None,
     ) -> None:
         self.folder, self.name, self.module, self.gateways = folder, name, module, gateways
-        datagrams = free_places(2 * gateways if fleet else gateways, socket.SOCK_DGRAM)
+        datagrams = free_addresses(2 * gateways if fleet else gateways, socket.SOCK_DGRAM)
         places = dict(enumerate(datagrams[:gateways]))
-        self.listens = [text(place) for place in free_places(gateways, socket.SOCK_STREAM)]
-        self.relays = Relays(places, seed) if relayed else None
+        self.listens = [text(place) for place in free_addresses(gateways, socket.SOCK_STREAM)]
+        self.relays = DatagramRelays(places, seed) if relayed else None
         self.processes: list[subprocess.Popen] = []
         self.fleet = fleet is not None
         if fleet is not None:
@@ -120,7 +120,10 @@
         environment = {key: value for key, value in os.environ.items() if not key.startswith("LB_")}
         try:
             for index in range(self.gateways):
-                paths = {"LB_CONFIG": str(self._path(index, "json")), traced.FILE: str(self._path(index, "trace"))}
+                paths = {
+                    "LB_CONFIG": str(self._path(index, "json")),
+                    traced_gateway.FILE: str(self._path(index, "trace")),
+                }
                 if self.fleet:
                     paths["LB_FLEET"] = str(self._path(index, "toml"))
                 with open(self._path(index, "log"), "wb") as log:
@@ -144,16 +147,16 @@
             process.wait()
 
     async def ready(self) -> None:
-        """All are serving, or RigError."""
+        """All are serving, or DrillProcessError."""
         with trio.move_on_after(READY) as scope:
             for index, listen in enumerate(self.listens):
                 while not await _ready(listen):
                     if self.processes[index].poll() is not None:
                         log = self._path(index, "log").read_text()[-400:]
-                        raise RigError(f"gateway {self.name}{index} ended: {log}")
+                        raise DrillProcessError(f"gateway {self.name}{index} ended: {log}")
                     await trio.sleep(0.02)
         if scope.cancelled_caught:
-            raise RigError(f"the gateways of tier {self.name} were not ready within {READY:.0f} s")
+            raise DrillProcessError(f"the gateways of tier {self.name} were not ready within {READY:.0f} s")
 
     async def stop(self, index: int, seconds: float) -> tuple[int, int]:
         """Stops a gateway for a time, and returns when that was, by perf_counter_ns."""
@@ -175,9 +178,9 @@
                 process.wait(max(0.1, until - monotonic()))
         ended = [process.poll() for process in self.processes]
         if any(ended):  # None would be one that has not left; 0 is as it should be
-            raise RigError(f"the gateways of tier {self.name} ended with {ended}")
+            raise DrillProcessError(f"the gateways of tier {self.name} ended with {ended}")
         if None in ended:
-            raise RigError(f"not all gateways of tier {self.name} left within {LEAVING:.0f} s")
+            raise DrillProcessError(f"not all gateways of tier {self.name} left within {LEAVING:.0f} s")
         if self.module == PROGRAM:
             return []
         return [
@@ -192,11 +195,11 @@
     try:
         link = await connect((host, int(port)), 1.0)
         try:
-            await link.write(plain("GET", "/-/ready", (host, int(port))))
+            await link.write(request_head("GET", "/-/ready", (host, int(port))))
             return (await link.read()).head.status_code == 200
         finally:
             link.close()
-    except Break:
+    except ConnectionFailedError:
         return False
 
 
@@ -210,14 +213,14 @@
     status: str
 
 
-class Timed(Generator):
+class Timed(LoadGenerator):
     """The open-loop generator, which keeps what each RPC took on its connection."""
 
-    def __init__(self, load: Load) -> None:
+    def __init__(self, load: LoadSettings) -> None:
         super().__init__(load)
         self.rows: list[Row] = []
 
-    async def _ask(self, link: Link, target: Any, customer: int, rpc: int, meant: float) -> str:
+    async def _ask(self, link: HttpConnection, target: Any, customer: int, rpc: int, meant: float) -> str:
         begun = perf_counter_ns()
         status = await super()._ask(link, target, customer, rpc, meant)
         self.rows.append(Row(f"{rpc:016x}", text(target), begun, perf_counter_ns(), status))
@@ -232,6 +235,8 @@
 
 async def play(targets: list[str], rate: float, seconds: float, deadline_ms: float, seed: int) -> Block:
     """Some seconds of RPCs to these, at random; ends with the last answer or deadline."""
-    client = Timed(Load(tuple(targets), rate, seconds, 200, CUSTOMERS, "GET", METHOD, PLAN, int(deadline_ms), seed))
+    client = Timed(
+        LoadSettings(tuple(targets), rate, seconds, 200, CUSTOMERS, "GET", METHOD, PLAN, int(deadline_ms), seed)
+    )
     report = await client.run()
     return Block(client.rows, report.answers, report.behind)
--- a/oakfork/lab/scale/capacity.py
+++ b/oakfork/lab/scale/capacity_tables.py
@@ -5,11 +5,11 @@
 from pathlib import Path
 from typing import Callable
 
-from oakfork.errors import ScaleError
-from oakfork.lab.scale import capacitycontrol, capacitydays as days, capacitymissing, capacityroles as roles
+from oakfork.errors import MeasurementError
+from oakfork.lab.scale import capacity_control, capacity_days as days, capacity_gaps, capacity_roles as roles
 from oakfork.lab.scale.budget import Budget, Open, Today
-from oakfork.lab.scale.capacityfigures import NOT_MEASURED, SURE, WHOLE, Row, Store, markdown, plain, shown
-from oakfork.lab.scale.capacityroles import Sums
+from oakfork.lab.scale.capacity_figures import NOT_MEASURED, SURE, WHOLE, Row, Store, markdown, plain, shown
+from oakfork.lab.scale.capacity_roles import Sums
 
 MARKED = re.compile(r"^<!-- table: (?P<name>[a-z ]+) -->\n(?P<body>.*?)^<!-- end of table -->$", re.M | re.S)
 MARKER = re.compile(r"^<!-- (?:table: .*|end of table) -->$", re.M)
@@ -99,11 +99,11 @@
     found = {"budget": _budget(sums), "assumptions": _assumptions(sums)}
     found |= {name: shown(columns, rows(sums), groups) for name, rows in BY_VIEW.items()}
     found["apart"] = shown([columns[0]], days.apart(sums), groups)
-    found["relayed"] = shown([capacitycontrol.gateways_of(sums.budget)], capacitycontrol.relayed(sums), groups)
-    found["agreed"] = shown(capacitycontrol.AGREED, capacitycontrol.agreed(sums), groups)
+    found["relayed"] = shown([capacity_control.gateways_of(sums.budget)], capacity_control.relayed(sums), groups)
+    found["agreed"] = shown(capacity_control.AGREED, capacity_control.agreed(sums), groups)
     found["added"] = shown(["p50", "p99"], days.added(sums), groups)
     found["parts"] = days.parts(sums)
-    found["missing"] = capacitymissing.missing(sums)
+    found["missing"] = capacity_gaps.missing(sums)
     return found | {"slopes": _slopes(sums), "runs": _runs(sums)}
 
 
@@ -111,7 +111,7 @@
     """The tables that a page marks; raises ScaleError where a marker has no other end, or a name stands twice."""
     found = [match["name"] for match in MARKED.finditer(page)]
     if len(MARKER.findall(page)) != 2 * len(found) or len(set(found)) != len(found):
-        raise ScaleError("a marker without its other end, or a table marked twice")
+        raise MeasurementError("a marker without its other end, or a table marked twice")
     return found
 
 
@@ -119,7 +119,7 @@
     """The page with the tables between its markers; raises ScaleError where either has one that the other has not."""
     marked = set(names_in(page))
     if marked != found.keys():
-        raise ScaleError(f"marked or written, but not both: {', '.join(sorted(marked ^ found.keys()))}")
+        raise MeasurementError(f"marked or written, but not both: {', '.join(sorted(marked ^ found.keys()))}")
     return MARKED.sub(
         lambda match: f"<!-- table: {match['name']} -->\n{found[match['name']]}\n<!-- end of table -->", page
     )
--- a/oakfork/lab/scale/command.py
+++ b/oakfork/lab/scale/cli.py
@@ -8,11 +8,18 @@
 
 import click
 
-from oakfork.errors import MISTAKE, WRONG, OakforkError, lines
+from oakfork.errors import EXIT_FAILURE, EXIT_USAGE, OakforkError, error_lines
 
 GROUPS = {
-    name: f"oakfork.lab.scale.{name}" for name in ("module", "process", "frames", "lists", "added", "control")
-} | {"faults": "oakfork.lab.scale.controlfaults", "leases": "oakfork.lab.scale.capacityleases"}
+    "module": "oakfork.lab.scale.module_costs",
+    "process": "oakfork.lab.scale.process_costs",
+    "frames": "oakfork.lab.scale.peer_frames",
+    "lists": "oakfork.lab.scale.server_lists",
+    "added": "oakfork.lab.scale.added_latency",
+    "control": "oakfork.lab.scale.control_costs",
+    "faults": "oakfork.lab.scale.control_faults",
+    "leases": "oakfork.lab.scale.lease_costs",
+}
 STORED = "experiments/scale"
 
 
@@ -31,7 +38,7 @@
 
 
 def _page(page: Path, folder: Path, check: bool) -> int:
-    from oakfork.lab.scale.capacity import tables, written
+    from oakfork.lab.scale.capacity_tables import tables, written
 
     try:
         text = page.read_text()
@@ -40,7 +47,7 @@
         _end(f"{page}: not written: {error}")
     if check:
         click.echo(f"{page}: " + ("as stored" if told == text else f"differs from what {folder} gives"))
-        return WRONG if told != text else 0
+        return EXIT_FAILURE if told != text else 0
     if told != text:
         page.write_text(told)
     click.echo(f"{page}: {'written' if told != text else 'as it was'}")
@@ -90,17 +97,17 @@
         try:
             _measure(name, to if small else folder, small)
         except OakforkError as error:
-            return _failed(lines(error, name), error.status)
+            return _failed(error_lines(error, name), error.status)
         except (OSError, ValueError) as error:
             return _failed(f"{name}: {error}")
     return 0
 
 
 def _end(text: str) -> NoReturn:
-    sys.exit(_failed(text, MISTAKE))
+    sys.exit(_failed(text, EXIT_USAGE))
 
 
-def _failed(text: str, status: int = WRONG) -> int:
+def _failed(text: str, status: int = EXIT_FAILURE) -> int:
     for line in text.splitlines():
         click.echo(f"oakfork: {line}", err=True)
     return status
--- a/oakfork/lab/scale/control.py
+++ b/oakfork/lab/scale/control_costs.py
@@ -1,8 +1,8 @@
 """Group "control": how changes reach every gateway (oakfork/control), at several numbers of hollow gateways: real
-processes over loopback on one machine, played by fleetplay.py and judged by fleetwitness.py.
+processes over loopback on one machine, played by fleet_run.py and judged by fleet_verifier.py.
 
 At each size: at rest, single changes, one relay gone. At the largest, which is played first, also the bursts, real
-gateways beside and a cold zone. controlfaults.py has the play of faults.
+gateways beside and a cold zone. control_faults.py has the play of faults.
 The time to everywhere holds the processors' share that one machine has for all: it is no less than on many.
 """
 
@@ -14,12 +14,12 @@
 import trio
 
 from oakfork.control.messages import EMPTY
-from oakfork.errors import RigError
-from oakfork.lab.scale import beside as besides, made
-from oakfork.lab.scale.fleetplay import FULL, PUBLISHER, Fleet, Shape, drawn
-from oakfork.lab.scale.fleetwitness import Acked
-from oakfork.lab.scale.hollow import now_ms
-from oakfork.lab.scale.process import memory
+from oakfork.errors import DrillProcessError
+from oakfork.lab.scale import generated_state, real_gateways as besides
+from oakfork.lab.scale.fleet_run import FULL, PUBLISHER, Fleet, Shape, drawn
+from oakfork.lab.scale.fleet_verifier import Acked
+from oakfork.lab.scale.hollow_gateways import now_ms
+from oakfork.lab.scale.process_costs import memory
 from oakfork.lab.scale.slopes import Measure
 
 GROUP = "control"
@@ -52,7 +52,7 @@
 
 SMALL = Sizes(
     (4, 6, 8, 12, 16),
-    Shape(made.SMALL, 4, 1, 2, 1),
+    Shape(generated_state.SMALL, 4, 1, 2, 1),
     1.0,
     2,
     0.1,
@@ -129,31 +129,33 @@
     def __init__(self, sizes: Sizes, gateways: int, told: Callable[[str], None]) -> None:
         self.sizes, self.told, self.gateways = sizes, told, gateways
         self.shape = sizes.shape._replace(gateways=gateways, processes=min(sizes.shape.processes, gateways))
-        self.changes = made.Changes(self.shape.sizes, sizes.seed)
+        self.changes = generated_state.Changes(self.shape.sizes, sizes.seed)
         self.more: dict[str, Any] = {}
 
     def run(self) -> Played:
-        """Raises RigError, also where the witness finds a fault."""
+        """Raises DrillProcessError, also where the witness finds a fault."""
         with tempfile.TemporaryDirectory(prefix="oakfork-fleet-") as folder:
             fleet = Fleet(Path(folder), self.shape, self.sizes.seed)
             played = trio.run(fleet.run, self._play)
             if faults := fleet.judged():
-                raise RigError(f"{self.gateways} gateways: " + "; ".join(faults))
+                raise DrillProcessError(f"{self.gateways} gateways: " + "; ".join(faults))
             return played._replace(more=played.more | {"counts": fleet.counts})
 
     def faults(self) -> dict[str, Any]:
-        """A play of faults; raises RigError where the witness finds a fault."""
+        """A play of faults; raises DrillProcessError where the witness finds a fault."""
         sizes = self.sizes
         plan = drawn(sizes.seed, self.shape, sizes.span, sizes.holds)
         with tempfile.TemporaryDirectory(prefix="oakfork-fleet-") as folder:
             fleet = Fleet(Path(folder), self.shape, sizes.seed)
 
             async def play(fleet: Fleet) -> None:
-                await fleet.faults(plan, made.Changes(self.shape.sizes, sizes.seed, paired=True), 0.5, sizes.settled)
+                await fleet.faults(
+                    plan, generated_state.Changes(self.shape.sizes, sizes.seed, paired=True), 0.5, sizes.settled
+                )
 
             trio.run(fleet.run, play)
             if found := fleet.judged():
-                raise RigError(f"faults of seed {sizes.seed}: " + "; ".join(found))
+                raise DrillProcessError(f"faults of seed {sizes.seed}: " + "; ".join(found))
             return {
                 "seed": sizes.seed,
                 "plan": [one._asdict() for one in plan],
@@ -235,7 +237,7 @@
             "spread": fleet.spread(acked),
         }
 
-    async def _sets(self, fleet: Fleet, sets: Sequence[made.Change], operators: int) -> None:
+    async def _sets(self, fleet: Fleet, sets: Sequence[generated_state.Change], operators: int) -> None:
         """Several operators at once, one after another each, until all is in force everywhere."""
         left, failed = list(sets)[::-1], []
 
@@ -243,7 +245,7 @@
             try:
                 while left and not failed:
                     await fleet.publish(left.pop())
-            except RigError as error:
+            except DrillProcessError as error:
                 failed.append(error)
 
         async with trio.open_nursery() as nursery:
@@ -303,11 +305,12 @@
                 await trio.sleep(0.02)
                 fleet.read()
             return
-        raise RigError(f"{name} did not begin within {self.sizes.spread:g} s")
+        raise DrillProcessError(f"{name} did not begin within {self.sizes.spread:g} s")
 
 
 def measure(told: Callable[[str], None], small: bool = False) -> tuple[list[Measure], dict[str, Any]]:
-    """Raises RigError where processes do not start or end, a change set is not in force everywhere in time, or the
+    """Raises DrillProcessError
+    where processes do not start or end, a change set is not in force everywhere in time, or the
     witness finds a fault."""
     sizes = SMALL if small else Sizes()
     played = {gateways: Player(sizes, gateways, told).run() for gateways in reversed(sizes.gateways)}
--- a/oakfork/lab/scale/controlfaults.py
+++ b/oakfork/lab/scale/control_faults.py
@@ -5,14 +5,14 @@
 import sys
 from typing import Any, Callable
 
-from oakfork.lab.scale.control import SMALL, Player, Sizes
+from oakfork.lab.scale.control_costs import SMALL, Player, Sizes
 from oakfork.lab.scale.slopes import Measure
 
 GROUP = "faults"
 
 
 def measure(told: Callable[[str], None], small: bool = False) -> tuple[list[Measure], dict[str, Any]]:
-    """No measures; what was played and seen. Raises RigError where the witness finds a fault."""
+    """No measures; what was played and seen. Raises DrillProcessError where the witness finds a fault."""
     sizes = SMALL if small else Sizes()
     gateways = sizes.gateways[-1]
     played = Player(sizes, gateways, told).faults()
--- a/oakfork/lab/scale/fleetplay.py
+++ b/oakfork/lab/scale/fleet_run.py
@@ -1,5 +1,5 @@
 """A publisher, relays and processes of hollow gateways on loopback: started, loaded with change sets, struck by faults
-that a seed draws, watched and ended. fleetwitness.py judges. Every wait is bounded, nothing is left running.
+that a seed draws, watched and ended. fleet_verifier.py judges. Every wait is bounded, nothing is left running.
 """
 
 import json
@@ -18,15 +18,15 @@
 import trio
 
 from oakfork.control import client
-from oakfork.control.feeder import EGRESS
+from oakfork.control.follower_server import EGRESS
 from oakfork.control.messages import EMPTY, Position
-from oakfork.errors import PublisherSilent, RigError
-from oakfork.lab.ports import free_places, text
-from oakfork.lab.scale import fleetwitness, made
-from oakfork.lab.scale.fleetwitness import Acked, End, Reached
-from oakfork.lab.scale.hollow import now_ms
-from oakfork.lab.scale.process import memory, processor_seconds
-from oakfork.lab.scale.ways import Way
+from oakfork.errors import DrillProcessError, PublisherTimeoutError
+from oakfork.lab.port_allocator import free_addresses, text
+from oakfork.lab.scale import fleet_verifier, generated_state
+from oakfork.lab.scale.faulty_connections import Way
+from oakfork.lab.scale.fleet_verifier import Acked, End, Reached
+from oakfork.lab.scale.hollow_gateways import now_ms
+from oakfork.lab.scale.process_costs import memory, processor_seconds
 
 START, END = 90.0, 15.0  # seconds until all have begun, until all have ended
 PATIENCE = 60.0  # for a verdict, also with the publisher killed and started again
@@ -39,7 +39,7 @@
     """Of a fleet. The publisher's egress is above the default so that a play's relays, which begin with nothing, have
     the state soon."""
 
-    sizes: made.Sizes = made.SMALL
+    sizes: generated_state.Sizes = generated_state.SMALL
     gateways: int = 60
     processes: int = 2
     relays: int = 3
@@ -48,7 +48,7 @@
     relay_egress: int = EGRESS  # bytes a second
 
 
-FULL = Shape(made.FULL, 2_700, 5, 12, 7)
+FULL = Shape(generated_state.FULL, 2_700, 5, 12, 7)
 
 
 class Fault(NamedTuple):
@@ -88,7 +88,7 @@
         self.doomed: list[Fault] = []  # of the publisher, for the next change sets
         self.log: list[str] = []  # what was done
         self.start_at = EMPTY
-        places = free_places(1 + shape.relays, socket.SOCK_STREAM)
+        places = free_addresses(1 + shape.relays, socket.SOCK_STREAM)
         self.publisher, self.relays = places[0], places[1:]
         self.ways: dict[tuple[int, int], Way] = {}  # from a relay to another one, or the publisher: -1
         self.operator: Way | None = None
@@ -97,7 +97,7 @@
     # Begin and end
 
     async def run(self, play: Callable[["Fleet"], Awaitable[Any]]) -> Any:
-        """Starts all, plays, ends all; raises RigError."""
+        """Starts all, plays, ends all; raises DrillProcessError."""
         result, failed = None, None
         try:
             async with trio.open_nursery() as self.nursery:
@@ -105,7 +105,7 @@
                     await self._begin()
                     result = await play(self)
                     await self.end()
-                except (RigError, PublisherSilent) as error:  # by itself, not inside the nursery's group
+                except (DrillProcessError, PublisherTimeoutError) as error:  # by itself, not inside the nursery's group
                     failed = error
                 self.nursery.cancel_scope.cancel()
         finally:
@@ -117,12 +117,14 @@
             for file, _ in self.files.values():
                 file.close()
         if failed is not None:
-            raise RigError(str(failed)) from failed
+            raise DrillProcessError(str(failed)) from failed
         return result
 
     async def _begin(self) -> None:
         shape = self.shape
-        self.start_at = await trio.to_thread.run_sync(made.preload, self.folder / "control.sqlite", shape.sizes)
+        self.start_at = await trio.to_thread.run_sync(
+            generated_state.preload, self.folder / "control.sqlite", shape.sizes
+        )
         self.operator = await self._way(self.publisher)
         for number in range(shape.relays):
             for other in self._upstreams(number):
@@ -141,7 +143,7 @@
                 while Position(*(await client.status(text(place), START))["position"]) < position:
                     await trio.sleep(0.1)
         if scope.cancelled_caught:
-            raise RigError(f"not all relays had the state after {START:g} s")
+            raise DrillProcessError(f"not all relays had the state after {START:g} s")
         for process in range(shape.processes):
             self.hollow(f"hollow-{process}", range(process, shape.gateways, shape.processes))
         await self.everywhere(position, START)
@@ -177,7 +179,7 @@
         kind = "relay" if name.startswith("relay") else "publisher"
         with open(self.folder / f"{name}.log", "ab") as log:
             self.processes[name] = subprocess.Popen(
-                [sys.executable, "-m", "oakfork.control.command", kind, str(self.folder / f"{name}.toml")],
+                [sys.executable, "-m", "oakfork.control.cli", kind, str(self.folder / f"{name}.toml")],
                 stdin=subprocess.DEVNULL,
                 stdout=log,
                 stderr=log,
@@ -212,7 +214,7 @@
         path.write_text(json.dumps(config))
         with open(path.with_suffix(".told"), "wb") as told, open(path.with_suffix(".log"), "wb") as log:
             self.processes[name] = subprocess.Popen(
-                [sys.executable, "-m", "oakfork.lab.scale.hollow", str(path)],
+                [sys.executable, "-m", "oakfork.lab.scale.hollow_gateways", str(path)],
                 stdin=subprocess.DEVNULL,
                 stdout=told,
                 stderr=log,
@@ -255,7 +257,7 @@
                 self.ends[one] = End(Position(term, count), digest, brute)
 
     async def everywhere(self, position: Position, seconds: float) -> None:
-        """Until all hollow ones have it; raises RigError."""
+        """Until all hollow ones have it; raises DrillProcessError."""
         with trio.move_on_after(seconds):
             while True:
                 self.read()
@@ -263,10 +265,12 @@
                     return
                 for name in self.files:
                     if self.processes[name].poll() is not None:
-                        raise RigError(f"{name} ended: {self._last(name)}")
+                        raise DrillProcessError(f"{name} ended: {self._last(name)}")
                 await trio.sleep(0.1)
         late = [who for who, there in self.at.items() if there < position]
-        raise RigError(f"{len(late)} of {len(self.at)} not at {tuple(position)} after {seconds:g} s: {late[:5]}")
+        raise DrillProcessError(
+            f"{len(late)} of {len(self.at)} not at {tuple(position)} after {seconds:g} s: {late[:5]}"
+        )
 
     def _last(self, name: str) -> str:
         return (self.folder / f"{name}.log").read_text()[-400:]
@@ -278,9 +282,9 @@
             for reason, count in told["counts"].items():
                 counts[reason] = counts.get(reason, 0) + count
         self.counts = counts
-        return fleetwitness.judge(
-            fleetwitness.Seen(
-                made.base(self.shape.sizes),
+        return fleet_verifier.judge(
+            fleet_verifier.Seen(
+                generated_state.base(self.shape.sizes),
                 self.start_at.number,
                 self.acked,
                 self.reached,
@@ -321,8 +325,10 @@
 
     # What is done
 
-    async def publish(self, change: made.Change) -> Position:
-        """Until it is acknowledged; raises RigError where it is not. The one that comes upon a fault of the publisher's
+    async def publish(self, change: generated_state.Change) -> Position:
+        """Until it is acknowledged; raises DrillProcessError where it is not.
+
+        The one that comes upon a fault of the publisher's
         also waits until that answers again."""
         verdict, failed, ms = None, None, 0
         async with trio.open_nursery() as nursery:
@@ -331,10 +337,10 @@
                 await trio.lowlevel.checkpoint()
             try:  # by itself, not inside the nursery's group
                 verdict, ms = await client.publish(self.operator.place, change.id, change.file, PATIENCE), now_ms()
-            except PublisherSilent as error:
+            except PublisherTimeoutError as error:
                 failed = error
         if failed is not None or verdict.position is None:
-            raise RigError(f"{change.id} was not taken: {failed or verdict.faults[:3]}")
+            raise DrillProcessError(f"{change.id} was not taken: {failed or verdict.faults[:3]}")
         self.acked.append(Acked(change.id, verdict.position, ms, change.rows))
         return verdict.position
 
@@ -354,7 +360,7 @@
         self.operator.mute = False
         await trio.sleep(fault.lasts)
         self.start(PUBLISHER)
-        with suppress(PublisherSilent):  # which the next change set tells
+        with suppress(PublisherTimeoutError):  # which the next change set tells
             await client.status(text(self.publisher), START)
 
     async def kill(self, name: str) -> None:
@@ -392,7 +398,9 @@
             for way in ways:
                 way.open()
 
-    async def faults(self, plan: Sequence[Fault], changes: made.Changes, every: float, settled: float) -> None:
+    async def faults(
+        self, plan: Sequence[Fault], changes: generated_state.Changes, every: float, settled: float
+    ) -> None:
         """Strikes as planned while change sets go on, then waits until all have the last one."""
         begun, done = trio.current_time(), trio.Event()
 
@@ -410,9 +418,9 @@
                 while not done.is_set() or self.doomed:
                     await self.publish(changes.some(4))
                     await trio.sleep(every)
-            except RigError as error:
+            except DrillProcessError as error:
                 failed = error
                 nursery.cancel_scope.cancel()
         if failed is not None:
-            raise RigError(str(failed))
+            raise DrillProcessError(str(failed))
         await self.everywhere(await self.publish(changes.some(4)), settled)
--- a/oakfork/lab/scale/hollow.py
+++ b/oakfork/lab/scale/hollow_gateways.py
@@ -1,5 +1,6 @@
 """Many followers in one process, for plays: the real machine, the real connections, and a store that is hollow. Each
-has its own position and digests; the values, which all have alike, are shared. `python -m oakfork.lab.scale.hollow F`.
+has its own position and digests; the values, which all have alike, are shared.
+`python -m oakfork.lab.scale.hollow_gateways F`.
 
 What came is hashed by each for itself, and the record that it replaces is the one in force at its own position: so a
 wrong frame is found as in a gateway. One of `full` keeps the records themselves. Tells on stdout, by lines of JSON:
@@ -21,13 +22,13 @@
 import structlog
 import trio
 
+from oakfork.control.connections import FrameConnection
+from oakfork.control.engine import Engine
 from oakfork.control.events import InForce, Key
 from oakfork.control.follower import Follower
-from oakfork.control.links import Link
 from oakfork.control.messages import EMPTY, RANGES, Kind, Position
-from oakfork.control.service import Engine
-from oakfork.control.state import Records, Store, range_of, record_digest, whole
-from oakfork.lab.scale import made
+from oakfork.control.state import Records, Store, range_of, record_digest, total_digest
+from oakfork.lab.scale import generated_state
 
 TOLD_EVERY, MARKED_EVERY = 0.2, 1.0  # seconds
 LOOKS = 200  # at the pair after each change set, a turn of others between two
@@ -44,14 +45,15 @@
 
 
 class Config(msgspec.Struct):
-    sizes: made.Sizes
-    start: Position  # where those that aren't cold stand, with the state of `made`
+    sizes: generated_state.Sizes
+    start: Position  # where those that aren't cold stand, with the state of `generated_state`
     followers: list[One]
 
 
 class Values:
     """Of all records, at the positions that any follower of this process has come to. Right as long as no value comes
-    again after another (made.py): then between two positions a record either changed, and differs, or did not."""
+    again after another (generated_state.py): then between two positions a record either changed, and differs, or did
+    not."""
 
     def __init__(self, base: Mapping[Key, bytes], at: Position) -> None:
         self.base, self.at = base, at
@@ -110,23 +112,23 @@
                 self.values.put(key, position, value)
         self.sums, self.position = sums, position
 
-    def fold(self, most: int | None = None) -> bool:
+    def compact(self, most: int | None = None) -> bool:
         return False
 
 
 class Counted:
     """A stream, and the bytes that go through it."""
 
-    def __init__(self, stream: trio.SocketStream, tally: Counter[str]) -> None:
-        self.stream, self.tally, self.socket = stream, tally, stream.socket
+    def __init__(self, stream: trio.SocketStream, metrics: Counter[str]) -> None:
+        self.stream, self.metrics, self.socket = stream, metrics, stream.socket
 
     async def receive_some(self, most: int) -> bytes:
         data = await self.stream.receive_some(most)
-        self.tally["in"] += len(data)
+        self.metrics["in"] += len(data)
         return data
 
     async def send_all(self, data: bytes) -> None:
-        self.tally["out"] += len(data)
+        self.metrics["out"] += len(data)
         await self.stream.send_all(data)
 
     async def aclose(self) -> None:
@@ -134,10 +136,10 @@
 
 
 class CountedEngine(Engine):
-    tally: Counter[str]
+    metrics: Counter[str]
 
-    async def _serve(self, link: Link, number: int, unpack: Callable[[bytes], Any]) -> None:
-        link.stream = Counted(link.stream, self.tally)
+    async def _serve(self, link: FrameConnection, number: int, unpack: Callable[[bytes], Any]) -> None:
+        link.stream = Counted(link.stream, self.metrics)
         await super()._serve(link, number, unpack)
 
 
@@ -153,7 +155,7 @@
     """All followers of one process."""
 
     def __init__(self, config: Config) -> None:
-        self.config, self.tally = config, Counter()
+        self.config, self.metrics = config, Counter()
         self.engines: list[CountedEngine] = []
         self.reached: list[list[int]] = []  # follower, term, number, ms, digest; emptied by telling
         self.half = 0  # times that the pair was seen unequal
@@ -164,7 +166,7 @@
             wrapper_class=structlog.make_filtering_bound_logger(logging.WARNING),
         )
         needed = any(not one.cold and not one.full for one in config.followers)
-        filled = made.store(config.sizes) if needed else Records()
+        filled = generated_state.store(config.sizes) if needed else Records()
         base = {(kind, name): value for kind in Kind for name, value in filled.records[kind].items()}
         self.values = Values(base, config.start)
         for number, one in enumerate(config.followers):
@@ -173,12 +175,12 @@
             if isinstance(store, HollowStore):
                 store.follower = machine
             engine = CountedEngine(machine, log, in_force=self._in_force(number, machine))
-            engine.tally = self.tally
+            engine.metrics = self.metrics
             self.engines.append(engine)
 
     def _store(self, one: One, filled: Records) -> Store:
         if one.full:
-            return Records() if one.cold else made.store(self.config.sizes)
+            return Records() if one.cold else generated_state.store(self.config.sizes)
         sums = array("Q", bytes(8 * RANGES)) if one.cold else array("Q", filled.sums)
         return HollowStore(self.values, sums, EMPTY if one.cold else self.config.start)
 
@@ -229,13 +231,13 @@
 
     async def _mark(self) -> None:
         while True:
-            tell({"mark": now_ms(), "processor_s": time.process_time(), **self.tally})
+            tell({"mark": now_ms(), "processor_s": time.process_time(), **self.metrics})
             await trio.sleep(MARKED_EVERY)
 
     async def _look(self, store: Records) -> None:
         """As requests would, at what one change set always changes together."""
         while True:
-            one, other = (store.value(Kind.TENANT, name) for name in made.PAIR)
+            one, other = (store.value(Kind.TENANT, name) for name in generated_state.PAIR)
             self.half += one != other
             if self.looks:
                 self.looks -= 1
@@ -248,8 +250,8 @@
     """The digest of the records themselves, where there are such."""
     if not isinstance(store, Records):
         return None
-    store.fold()
-    return whole(
+    store.compact()
+    return total_digest(
         array(
             "Q",
             [
--- a/oakfork/lab/scale/frames.py
+++ b/oakfork/lab/scale/peer_frames.py
@@ -2,7 +2,8 @@
 
 Times are tenths of a millisecond. No frame is lost or refused, timers are exact, and frames take a fixed time; so the
 counts are the same on any machine. Where a whole tier of modules would take too long, one module talks to scripted
-peers, which answer as oakfork/brain/links.py and quotas.py do: a greeting with an empty frame, an ask with a yes.
+peers, which answer as oakfork/decision/peer_links.py and quotas.py do: a greeting with an empty frame, an ask with a
+yes.
 """
 
 import random
@@ -10,14 +11,14 @@
 from dataclasses import dataclass
 from typing import Any, Callable, Sequence
 
-from oakfork import interface as face, peerwire as wire
-from oakfork.birth import read_settings
-from oakfork.brain import Brain
-from oakfork.interface import SECOND, State, Status
-from oakfork.lab.clock import Kind, Loop
-from oakfork.lab.relay import HEADERS
-from oakfork.lab.scale.lists import ZONES
+from oakfork import interface, peer_codec as wire
+from oakfork.decision import DecisionModule
+from oakfork.interface import SECOND, ServerState, Status
+from oakfork.lab.datagram_relay import HEADERS
+from oakfork.lab.event_loop import EventKind, EventLoop
+from oakfork.lab.scale.server_lists import ZONES
 from oakfork.lab.scale.slopes import Measure
+from oakfork.settings import read_settings
 
 GROUP = "frames"
 GATEWAYS = (3, 30, 300, 1000, 2700)
@@ -95,19 +96,21 @@
 
     def __init__(self, gateways: int, seed: int = 1, scripted: bool = False) -> None:
         self.gateways, self.seed, self.scripted = gateways, seed, scripted
-        self.loop = Loop()
-        self.brains: dict[int, Brain] = {}
+        self.loop = EventLoop()
+        self.modules: dict[int, DecisionModule] = {}
         self.numbers = [0] * gateways  # frames sent by scripted peers
         self.sent, self.received = Traffic(), Traffic()
         self.asked = self.ok = self.not_sent_on = 0  # RPCs of gateway 0
 
     def start(self, index: int = 0) -> None:
         """Starts a gateway, or starts it anew: its earlier life's timers are void."""
-        again = index in self.brains
-        birth = read_settings((self.seed << 20) + 2 * index + again, settings(self.gateways, index))
-        self.brains[index] = Brain(birth, self.loop.now)
-        entries = tuple(face.ServerEntry(number, number, 0, 0, State.READY, 0, 1.0) for number in range(SERVERS))
-        self.handle(index, face.ServerList(True, False, entries))
+        again = index in self.modules
+        parsed = read_settings((self.seed << 20) + 2 * index + again, settings(self.gateways, index))
+        self.modules[index] = DecisionModule(parsed, self.loop.now)
+        entries = tuple(
+            interface.ServerEntry(number, number, 0, 0, ServerState.READY, 0, 1.0) for number in range(SERVERS)
+        )
+        self.handle(index, interface.ServerList(True, False, entries))
 
     def count_anew(self) -> None:
         self.sent, self.received = Traffic(), Traffic()
@@ -115,43 +118,43 @@
     def run(self, seconds: float) -> None:
         self.loop.run(self.loop.now + int(seconds * SECOND))
 
-    def handle(self, index: int, event: face.Event) -> None:
-        brain = self.brains[index]
-        for command in brain.handle(self.loop.now, event):
+    def handle(self, index: int, event: interface.Event) -> None:
+        module = self.modules[index]
+        for command in module.handle(self.loop.now, event):
             match command:
-                case face.Wake(token, after):
-                    self.loop.after(after, Kind.TIMER, self._timer, index, brain, token)
-                case face.Tell(peer, data):
+                case interface.SetTimer(token, after):
+                    self.loop.after(after, EventKind.TIMER, self._timer, index, module, token)
+                case interface.SendPeerFrame(peer, data):
                     self._tell(index, peer, data)
-                case face.Send(rpc, server):
-                    self.loop.after(LATENCY, Kind.ENDING, self._ended, index, rpc, server)
-                case face.PushBack() | face.Abort():
+                case interface.SendCallOut(rpc, server):
+                    self.loop.after(LATENCY, EventKind.ENDING, self._ended, index, rpc, server)
+                case interface.PushBack() | interface.Abort():
                     self.not_sent_on += 1
 
-    def _timer(self, index: int, brain: Brain, token: int) -> None:
-        if self.brains[index] is brain:
-            self.handle(index, face.TimeCame(token))
+    def _timer(self, index: int, module: DecisionModule, token: int) -> None:
+        if self.modules[index] is module:
+            self.handle(index, interface.TimerFired(token))
 
     def _ended(self, index: int, rpc: int, server: int) -> None:
         self.ok += 1
-        self.handle(index, face.CallOutEnded(rpc, 0, server, LATENCY, Status.OK, True, 0.0, ()))
+        self.handle(index, interface.CallOutEnded(rpc, 0, server, LATENCY, Status.OK, True, 0.0, ()))
 
     def _tell(self, sender: int, to: int, data: bytes) -> None:
         if sender == 0:
             self.sent.add(data)
-        if to in self.brains or self.scripted:
-            self.loop.after(DELAY, Kind.NEWS, self._arrive, sender, to, data)
+        if to in self.modules or self.scripted:
+            self.loop.after(DELAY, EventKind.NEWS, self._arrive, sender, to, data)
 
     def _arrive(self, sender: int, to: int, data: bytes) -> None:
         if to == 0:
             self.received.add(data)
-        if to in self.brains:
-            self.handle(to, face.PeerFrame(sender, data))
+        if to in self.modules:
+            self.handle(to, interface.PeerFrame(sender, data))
             return
         frame = wire.unpack(data)
         answers = [wire.Answer(item.serial, 0) for item in frame.items if isinstance(item, wire.Ask)]
         if answers or not (frame.to_life or frame.items):
-            self.loop.after(1, Kind.TIMER, self._write, to, sender, frame.life, answers)
+            self.loop.after(1, EventKind.TIMER, self._write, to, sender, frame.life, answers)
 
     def _write(self, peer: int, to: int, to_life: int, items: Sequence[wire.Item]) -> None:
         """A frame of a scripted peer, which knew an earlier life of the other."""
@@ -163,16 +166,16 @@
 
     # RPCs of gateway 0, and asks to it
 
-    def arrival(self, customer: int) -> face.Arrival:
-        method = self.brains[0].birth.methods[0]
-        return face.Arrival(self.asked, customer, 0, 0, 1.0, 0, self.gateways, method.deadline, False)
+    def arrival(self, customer: int) -> interface.RpcArrived:
+        method = self.modules[0].settings.methods[0]
+        return interface.RpcArrived(self.asked, customer, 0, 0, 1.0, 0, self.gateways, method.deadline, False)
 
     def ask(self, customer: int) -> None:
         self.asked += 1
         self.handle(0, self.arrival(customer))
 
     def serve(self, peer: int, serial: int, customer: int) -> None:
-        self._write(peer, 0, self.brains[0].links.life, [wire.Ask(serial & 0xFFFF, customer, 0, 1.0)])
+        self._write(peer, 0, self.modules[0].links.life, [wire.Ask(serial & 0xFFFF, customer, 0, 1.0)])
 
 
 def none_replies(gateways: int) -> Network:
@@ -200,13 +203,13 @@
     network.run(WINDOW)
     network.count_anew()
     ids = [dice.getrandbits(33) for _ in range(customers)]
-    owner, begun = network.brains[0].quotas.owner, network.loop.now
+    owner, begun = network.modules[0].quotas.owner, network.loop.now
     others = [one for one in ids if owner(network.arrival(one))[0]]
     own = [one for one in ids if not owner(network.arrival(one))[0]]
     for number in range(rate * seconds):
         at, came = (begun + dice.randrange(seconds * SECOND) for _ in range(2))
-        network.loop.at(at, Kind.CLIENT, network.ask, dice.choice(others))
-        network.loop.at(came, Kind.CLIENT, network.serve, dice.randrange(1, gateways), number, dice.choice(own))
+        network.loop.at(at, EventKind.CLIENT, network.ask, dice.choice(others))
+        network.loop.at(came, EventKind.CLIENT, network.serve, dice.randrange(1, gateways), number, dice.choice(own))
     network.run(seconds + 1)  # the last answers too
     return network
 
--- a/oakfork/lab/scale/traced.py
+++ b/oakfork/lab/scale/traced_gateway.py
@@ -1,4 +1,4 @@
-"""`python -m oakfork.lab.scale.traced` serves as `python -m oakfork` does, and notes where the time of each RPC goes.
+"""`python -m oakfork.lab.scale.traced_gateway` serves as `python -m oakfork` does and records the time of each RPC.
 
 The program is not changed: functions of it are wrapped from outside, which note the time and call what they wrap. An
 RPC is in one part at a time, so its parts add up to what the gateway saw of it: from its last byte in hand until its
@@ -113,7 +113,7 @@
     def __init__(self) -> None:
         self.records: dict[bytes, Record] = {}
         self.missed = 0
-        self.door: Any = None  # of the keeper: leads from the module's index of an RPC to its exchange
+        self.index_table: Any = None  # of the keeper: leads from the module's index of an RPC to its exchange
         self.leg: ContextVar[Leg | None] = ContextVar("leg", default=None)
         self.asked: dict[tuple[int, int], Record] = {}  # owner, serial -> whose ask waits; emptied as it leaves
         self.owed: dict[tuple[int, int], int] = {}  # who asks, serial -> since when; emptied as it leaves
@@ -121,8 +121,8 @@
         self.answering: tuple[Record, int] | None = None  # with its status, until it is handed to the socket
 
     def of(self, index: int) -> Record | None:
-        ticket = self.door.tickets[index] if self.door else None
-        return getattr(ticket.true_id, "record", None) if ticket else None
+        rpc_entry = self.index_table.rpc_entries[index] if self.index_table else None
+        return getattr(rpc_entry.external_id, "record", None) if rpc_entry else None
 
     def lines(self) -> Iterator[str]:
         for record in self.records.values():
@@ -131,31 +131,31 @@
 
     def wraps(self) -> list[Wrapped]:
         """What is wrapped, and how."""
-        from oakfork.brain.quotas import Quotas
-        from oakfork.brain.rpcs import Brain
-        from oakfork.sockets.clients import Client
+        from oakfork.decision.quotas import Quotas
+        from oakfork.decision.rpcs import DecisionModule
+        from oakfork.sockets.client_connections import ClientConnection
+        from oakfork.sockets.decision_loop import DecisionLoop
         from oakfork.sockets.exchange import Exchange
-        from oakfork.sockets.heads import Link
-        from oakfork.sockets.keeper import Keeper
-        from oakfork.sockets.peers import Peers
-        from oakfork.sockets.servers import Servers
+        from oakfork.sockets.http_connection import HttpConnection
+        from oakfork.sockets.peers import PeerSocket
+        from oakfork.sockets.server_connections import ServerConnections
 
         return [
-            Wrapped(Link, "fill", self._fill),
-            Wrapped(Client, "_take", self._client_take),
-            Wrapped(Keeper, "_take", self._keeper_take),
+            Wrapped(HttpConnection, "fill", self._fill),
+            Wrapped(ClientConnection, "_take", self._client_take),
+            Wrapped(DecisionLoop, "_take", self._loop_take),
             Wrapped(Quotas, "admit", self._waits(ADMISSION, PACE)),
-            Wrapped(Peers, "tell", self._tell),
+            Wrapped(PeerSocket, "tell", self._tell),
             Wrapped(Quotas, "received", self._received),
-            Wrapped(Brain, "_look", self._waits(DECISION, LOOK)),
-            Wrapped(Keeper, "_send", self._send),
-            Wrapped(Keeper, "_call_out", self._call_out),
-            Wrapped(Servers, "_new", self._new),
-            Wrapped(Servers, "call", self._call),
-            Wrapped(Link, "write", self._write),
-            Wrapped(Keeper, "_finish", self._finish),
+            Wrapped(DecisionModule, "_look", self._waits(DECISION, LOOK)),
+            Wrapped(DecisionLoop, "_send", self._send),
+            Wrapped(DecisionLoop, "_call_out", self._call_out),
+            Wrapped(ServerConnections, "_new", self._new),
+            Wrapped(ServerConnections, "call", self._call),
+            Wrapped(HttpConnection, "write", self._write),
+            Wrapped(DecisionLoop, "_finish", self._finish),
             Wrapped(Exchange, "answer", self._answer),
-            Wrapped(Link, "_push", self._push),
+            Wrapped(HttpConnection, "_push", self._push),
         ]
 
     def install(self) -> None:
@@ -192,19 +192,19 @@
 
         return take
 
-    def _keeper_take(self, original: Callable) -> Callable:
-        def take(keeper: Any, told: Any) -> None:
-            self.door = keeper.door
+    def _loop_take(self, original: Callable) -> Callable:
+        def take(decision_loop: Any, told: Any) -> None:
+            self.index_table = decision_loop.index_table
             if record := getattr(getattr(told, "exchange", None), "record", None):  # Came, Left, CallOutOver
                 record.to(DECISION)
-            original(keeper, told)
+            original(decision_loop, told)
 
         return take
 
     def _waits(self, running: int, waiting: int) -> Wrap:
         """A generator of the module: one part while it runs, another while it waits. An ask waits for its frame's pace
         first, and is on its way once that has left."""
-        from oakfork.peerwire import Answer
+        from oakfork.peer_codec import Answer
 
         def wrap(original: Callable) -> Callable:
             def waits(module: Any, rpc: Any, *args: Any) -> Generator:
@@ -236,7 +236,7 @@
         return wrap
 
     def _tell(self, original: Callable) -> Callable:
-        from oakfork.peerwire import Answer, Ask, unpack
+        from oakfork.peer_codec import Answer, Ask, unpack
 
         def tell(peers: Any, peer: int, data: bytes) -> None:
             frame = unpack(data)
@@ -251,7 +251,7 @@
 
     def _received(self, original: Callable) -> Callable:
         """An ask at its owner: from when the module takes it up until the frame with its answer leaves."""
-        from oakfork.peerwire import Ask
+        from oakfork.peer_codec import Ask
 
         def received(quotas: Any, sender: int, item: Any) -> Any:
             if isinstance(item, Ask) and len(self.served) + len(self.owed) < MOST:
@@ -263,20 +263,20 @@
     def _send(self, original: Callable) -> Callable:
         """Start: from the command to send until the first byte is about to be written, but for a new connection."""
 
-        def send(keeper: Any, command: Any) -> None:
-            ticket = keeper.door.tickets[command.rpc]
-            out = ticket.out
-            original(keeper, command)
-            if ticket.out > out and (record := getattr(ticket.true_id, "record", None)):
+        def send(decision_loop: Any, command: Any) -> None:
+            rpc_entry = decision_loop.index_table.rpc_entries[command.rpc]
+            out = rpc_entry.open_call_outs
+            original(decision_loop, command)
+            if rpc_entry.open_call_outs > out and (record := getattr(rpc_entry.external_id, "record", None)):
                 record.to(START)
 
         return send
 
     def _call_out(self, original: Callable) -> Callable:
-        async def call_out(keeper: Any, exchange: Any, *args: Any) -> None:
+        async def call_out(decision_loop: Any, exchange: Any, *args: Any) -> None:
             if record := getattr(exchange, "record", None):
                 self.leg.set(Leg(record))  # of this task alone
-            await original(keeper, exchange, *args)
+            await original(decision_loop, exchange, *args)
 
         return call_out
 
@@ -323,10 +323,10 @@
         return call
 
     def _finish(self, original: Callable) -> Callable:
-        def finish(keeper: Any, rpc: int, answer: Any) -> None:
+        def finish(decision_loop: Any, rpc: int, answer: Any) -> None:
             if record := self.of(rpc):
                 record.to(WAY_BACK)
-            original(keeper, rpc, answer)
+            original(decision_loop, rpc, answer)
 
         return finish
 
@@ -358,9 +358,9 @@
 
 
 def main() -> None:
-    from oakfork import early
+    from oakfork import early_signals
 
-    early.hold()
+    early_signals.install_handlers()
     path = os.environ.get(FILE)
     if not path:
         sys.exit(f"{FILE} names no file")
--- a/tests/controltier.py
+++ b/tests/control_tier.py
@@ -6,11 +6,11 @@
 import structlog
 import trio
 
-from oakfork.control import agent as agents, client, shown
-from oakfork.control.file import PublisherFile, RelayFile
-from oakfork.control.links import listen
-from oakfork.control.running import publisher_engine, relay_engine
-from oakfork.control.store import Database
+from oakfork.control import agent as agents, client, status_text
+from oakfork.control.config import PublisherFile, RelayFile
+from oakfork.control.connections import listen
+from oakfork.control.database import Database
+from oakfork.control.processes import publisher_engine, relay_engine
 
 LOG = structlog.get_logger()
 HERE = ("127.0.0.1", 0)
@@ -27,7 +27,7 @@
     return "{}:{}".format(*listener.socket.getsockname()[:2])
 
 
-class Tier:
+class ControlTier:
     """A publisher, two relays that follow it, and agents that follow the relays, in one loop."""
 
     def __init__(self, path, nursery):
@@ -74,7 +74,9 @@
 
     async def everywhere(self, position, followers=3):
         with trio.fail_after(WAIT):
-            while not shown.whole(told := await client.status(self.publisher_at), position, followers):
+            while not status_text.in_force_everywhere(
+                told := await client.status(self.publisher_at), position, followers
+            ):
                 await trio.sleep(0.02)
         assert all(agent.position >= position for agent in self.agents)
         return told
@@ -92,7 +94,7 @@
 @asynccontextmanager
 async def tier(path, **more):
     async with trio.open_nursery() as nursery:
-        it = Tier(path / "db", nursery)
+        it = ControlTier(path / "db", nursery)
         await it.start(**more)
         yield it
         nursery.cancel_scope.cancel()
--- a/tests/test_control_bytes.py
+++ b/tests/test_control_bytes.py
@@ -5,11 +5,11 @@
 
 import pytest
 import trio
-from controltier import HERE, LOG, WAIT, play, servers, until
+from control_tier import HERE, LOG, WAIT, play, servers, until
 from test_any_bytes import spoilt
 
-from oakfork.control import agent as agents, client, links, shown, trial
-from oakfork.control.links import framed
+from oakfork.control import agent as agents, client, connections, status_text, trial
+from oakfork.control.connections import framed
 from oakfork.control.messages import (
     VERSION,
     Ack,
@@ -26,7 +26,7 @@
     Welcome,
     pack,
 )
-from oakfork.sockets.configuration import address
+from oakfork.sockets.configuration import parse_address
 
 
 def frames(chance):
@@ -61,7 +61,7 @@
 
     async def throw(place):
         try:
-            stream = await trio.open_tcp_stream(*address(place))
+            stream = await trio.open_tcp_stream(*parse_address(place))
             async with stream:
                 data = b"".join(frames(chance) for _ in range(chance.randrange(1, 4)))
                 match chance.randrange(6):
@@ -74,7 +74,7 @@
                     case 3:
                         data = data[:-1]
                     case 4:
-                        data = (links.LARGEST_FRAME + 1).to_bytes(4, "big") + data
+                        data = (connections.LARGEST_FRAME + 1).to_bytes(4, "big") + data
                 await stream.send_all(data)
                 if chance.random() < 0.5:
                     with trio.move_on_after(0.02):
@@ -90,7 +90,7 @@
         for _ in range(60):
             await throw(chance.choice((it.publisher_at, it.relays_at[0])))
         for place in (it.publisher_at, it.relays_at[0]):
-            async with await trio.open_tcp_stream(*address(place)) as stream:  # ended by the other side, at once
+            async with await trio.open_tcp_stream(*parse_address(place)) as stream:  # ended by the other side, at once
                 await stream.send_all(framed(b"\xc1"))
                 with trio.fail_after(WAIT):
                     while await stream.receive_some():
@@ -109,7 +109,7 @@
     async def work(it):
         position = await it.publish(trial.EXAMPLE)
         await it.everywhere(position)
-        async with await trio.open_tcp_stream(*address(it.publisher_at)) as stream:
+        async with await trio.open_tcp_stream(*parse_address(it.publisher_at)) as stream:
             await stream.send_all(framed(pack(Hello(VERSION, "x", False, Position(7, 1), 5))))
             with trio.fail_after(WAIT):
                 while await stream.receive_some():
@@ -117,7 +117,7 @@
         verdict = await client.publish(it.publisher_at, "more", json.dumps(servers([1], "more")).encode())
         assert verdict.position is None and verdict.faults[0].startswith("older term")
         told = await client.status(it.publisher_at)
-        assert told["higher_term"] == 7 and "OLDER TERM: there is a publisher of term 7" in shown.text(told)
+        assert told["higher_term"] == 7 and "OLDER TERM: there is a publisher of term 7" in status_text.text(told)
         assert all(agent.position == position and agent.record(Kind.SERVICE, "search") for agent in it.agents)
 
     play(tmp_path, work)
--- a/tests/test_drills.py
+++ b/tests/test_drills.py
@@ -9,19 +9,19 @@
 import time
 
 import pytest
-from gateways import gateway, kinds
-from labworlds import ROOT
-from standins import free_port, until
-from world import arrival
-
-from oakfork import interface as face
-from oakfork.lab import schedule
-from oakfork.lab.contractdrill import CAPACITY, RESERVED, contract_drill
-from oakfork.lab.drills import lease_drill, plain_configuration
-from oakfork.lab.schedule import HOLDER, Trouble
-from oakfork.lab.witness import Taken, faults, gap
+from decision_modules import gateway, kinds
+from fake_services import free_port, until
+from gateway_network import arrival
+from lab_worlds import ROOT
+
+from oakfork import interface
+from oakfork.lab import fault_schedule
+from oakfork.lab.contract_drill import CAPACITY, RESERVED, contract_drill
+from oakfork.lab.fault_schedule import HOLDER, Trouble
+from oakfork.lab.fenced_resource import AcceptedAct, faults, gap
+from oakfork.lab.lease_drill import lease_drill, plain_configuration
 from oakfork.leases import fence
-from oakfork.leases.lengths import Lengths
+from oakfork.leases.durations import LeaseDurations
 
 
 @pytest.mark.timeout(90)
@@ -30,8 +30,8 @@
     drill = lease_drill(seed, keep=tmp_path)
     assert not drill.faults
     assert drill.acts > 20 and drill.done, "a drill in which nobody acts shows nothing"
-    drawn, told = schedule.read(tmp_path / f"leases-{seed}.json")
-    assert drawn == schedule.draw(seed, 3, 5.0, 0.4, range(3)) and told["played"] == drill.done
+    drawn, told = fault_schedule.read(tmp_path / f"leases-{seed}.json")
+    assert drawn == fault_schedule.draw(seed, 3, 5.0, 0.4, range(3)) and told["played"] == drill.done
 
 
 @pytest.mark.timeout(90)
@@ -47,18 +47,22 @@
 
 def test_the_witness_finds_what_it_is_there_for():
     """Guards against a judge that sees nothing."""
-    good = [Taken(10, 20, 0, 7, 1), Taken(15, 30, 0, 7, 1), Taken(31, 40, 1, 8, 2)]
+    good = [AcceptedAct(10, 20, 0, 7, 1), AcceptedAct(15, 30, 0, 7, 1), AcceptedAct(31, 40, 1, 8, 2)]
     assert not faults(good)
-    assert "overlap" in faults([*good, Taken(35, 50, 2, 9, 3)])[0]
-    assert "after one of term" in faults([*good, Taken(45, 50, 0, 7, 1)])[0]
-    assert "is held by" in faults([*good, Taken(45, 50, 2, 9, 2)])[0]
+    assert "overlap" in faults([*good, AcceptedAct(35, 50, 2, 9, 3)])[0]
+    assert "after one of term" in faults([*good, AcceptedAct(45, 50, 0, 7, 1)])[0]
+    assert "is held by" in faults([*good, AcceptedAct(45, 50, 2, 9, 2)])[0]
     assert gap(good, 16, 4) == 16 and gap(good, 40, 9) is None
 
 
 def test_the_same_seed_draws_the_same_schedule():
-    assert schedule.draw(5, 3, 9.0, 0.4) == schedule.draw(5, 3, 9.0, 0.4) != schedule.draw(6, 3, 9.0, 0.4)
-    kinds = {trouble.kind for seed in range(30) for trouble in schedule.draw(seed, 3, 9.0, 0.4)}
-    assert kinds == set(schedule.KINDS)
+    assert (
+        fault_schedule.draw(5, 3, 9.0, 0.4)
+        == fault_schedule.draw(5, 3, 9.0, 0.4)
+        != fault_schedule.draw(6, 3, 9.0, 0.4)
+    )
+    kinds = {trouble.kind for seed in range(30) for trouble in fault_schedule.draw(seed, 3, 9.0, 0.4)}
+    assert kinds == set(fault_schedule.KINDS)
 
 
 def modules_of(*words, **more):
@@ -109,11 +113,11 @@
 def test_a_clock_learnt_long_ago_does_not_end_acts_before_they_come():
     """Guards against a view of another's clock that is kept: with each second an act's end there comes earlier, until
     every act is late. Seen on contracts: no deal was taken ten seconds after the first."""
-    lengths = Lengths(lease=10_000, drift=10, act=2_000, longest=10_000)
-    view = fence.View(1, 0, 0)
-    for age in range(0, lengths.stale + 1, 100):
-        assert fence.end_there(view, age + lengths.act, lengths) > age + lengths.act * 3 // 4
-    assert fence.end_there(view, 120_000 + lengths.act, lengths) < 120_000  # what an old one would do
+    durations = LeaseDurations(lease=10_000, drift=10, act=2_000, longest=10_000)
+    view = fence.ClockView(1, 0, 0)
+    for age in range(0, durations.stale + 1, 100):
+        assert fence.end_on_their_clock(view, age + durations.act, durations) > age + durations.act * 3 // 4
+    assert fence.end_on_their_clock(view, 120_000 + durations.act, durations) < 120_000  # what an old one would do
     drill = lease_drill(3, seconds=6.0, troubles=[])
     assert not drill.faults and drill.refused.get("late", 0) < 0.02 * drill.acts
 
@@ -131,11 +135,13 @@
     """The module learns that one thing; what it draws by chance and all its tables are the same."""
     plain, told = gateway(servers=9), gateway(servers=9)
     plain.let_in = told.let_in = 0.0
-    assert kinds(plain.handle(0, arrival(1, 1))) == [face.PushBack]
-    assert kinds(told.handle(0, arrival(1, 1)._replace(reserved=True))) == [face.Send]
-    assert plain.desk.chance != told.desk.chance  # it went on, to a choice of server
+    assert kinds(plain.handle(0, arrival(1, 1))) == [interface.PushBack]
+    assert kinds(told.handle(0, arrival(1, 1)._replace(reserved=True))) == [interface.SendCallOut]
+    assert plain.context.chance != told.context.chance  # it went on, to a choice of server
     quota = gateway()
-    sent = [face.Send in kinds(quota.handle(100, arrival(rpc)._replace(reserved=True))) for rpc in range(12)]
+    sent = [
+        interface.SendCallOut in kinds(quota.handle(100, arrival(rpc)._replace(reserved=True))) for rpc in range(12)
+    ]
     assert sent == [True] * 8 + [False] * 4  # the customer's quota holds as ever
 
 
--- a/tests/test_frame_bytes.py
+++ b/tests/test_frame_bytes.py
@@ -10,11 +10,11 @@
 import pytest
 from msgspec import inspect
 
-from oakfork import peerwire
+from oakfork import peer_codec
 from oakfork.contracts import messages as contract_messages
 from oakfork.control import framing, messages as control_messages, records as control_records
 from oakfork.fleet import codec
-from oakfork.fleet.file import Edition
+from oakfork.fleet.config import FleetRevision
 from oakfork.leases import messages as lease_messages
 
 assert contract_messages  # its messages are subclasses of the leases' base
@@ -80,23 +80,23 @@
 def peer_samples():
     """Frames between gateways, by the name of the case."""
     items = [
-        peerwire.pack_item(peerwire.Ask(513, 7_654_321_987, 2, 1.5)),
-        peerwire.pack_item(peerwire.Answer(514, 12_345)),
-        peerwire.pack_item(peerwire.Return(7_654_321_987, 1, -2.25)),
-        peerwire.pack_item(peerwire.Release(515, 7_654_321_987)),
-        peerwire.pack_item(peerwire.Reading(0x89ABCDEF, 321, 4_500)),
+        peer_codec.pack_item(peer_codec.Ask(513, 7_654_321_987, 2, 1.5)),
+        peer_codec.pack_item(peer_codec.Answer(514, 12_345)),
+        peer_codec.pack_item(peer_codec.Return(7_654_321_987, 1, -2.25)),
+        peer_codec.pack_item(peer_codec.Release(515, 7_654_321_987)),
+        peer_codec.pack_item(peer_codec.Reading(0x89ABCDEF, 321, 4_500)),
     ]
     return {
-        "empty": shown(peerwire.pack(11, 0, 1, 70_000, [])),
-        "of the oldest version": shown(peerwire.pack(11, 12, 13, 14, items[:4])),
-        "with a reading, to one known before": shown(peerwire.pack(11, 12, 13, 14, items, True, peerwire.VERSION)),
+        "empty": shown(peer_codec.pack(11, 0, 1, 70_000, [])),
+        "of the oldest version": shown(peer_codec.pack(11, 12, 13, 14, items[:4])),
+        "with a reading, to one known before": shown(peer_codec.pack(11, 12, 13, 14, items, True, peer_codec.VERSION)),
     }
 
 
 def envelope_samples():
     """What stands around messages on the wire, by the name of the case."""
     return {
-        "fleet": codec.pack(3, Edition(7, 8, 9), [lease_messages.Free(1, 2)]).hex(),
+        "fleet": codec.pack(3, FleetRevision(7, 8, 9), [lease_messages.VoteFreed(1, 2)]).hex(),
         "control": framing.framed(b"body").hex(),
         "control, compressed": framing.framed(b"body" * 100)[:1].hex(),
     }
--- a/tests/test_ports.py
+++ b/tests/test_port_allocator.py
@@ -7,15 +7,15 @@
 from contextlib import ExitStack
 
 import pytest
-from labworlds import ROOT
+from lab_worlds import ROOT
 
-from oakfork.errors import RigError
-from oakfork.lab.ports import BLOCK, Ports, free_places, text
+from oakfork.errors import DrillProcessError
+from oakfork.lab.port_allocator import BLOCK, PortAllocator, free_addresses, text
 
 RANGE = 9_000, 9_000 + 4 * BLOCK  # of these tests alone: below the range that all others take from
 ASK = """
 import socket, sys
-from oakfork.lab.ports import free_places
+from oakfork.lab.port_allocator import free_places
 print(*(port for _, port in free_places(100, socket.SOCK_DGRAM)), flush=True)
 sys.stdin.read()
 """
@@ -36,14 +36,14 @@
         ]
         ports = [port for process in asked for port in process.stdout.readline().split()]
         assert len(ports) == len(set(ports)) == 400
-        with pytest.raises(RigError, match="claimed"):
-            Ports(*RANGE)
-    ours = Ports(*RANGE)  # all have ended, and nothing of their claims is left
+        with pytest.raises(DrillProcessError, match="claimed"):
+            PortAllocator(*RANGE)
+    ours = PortAllocator(*RANGE)  # all have ended, and nothing of their claims is left
     ours.claim.close()
 
 
 def test_ports_come_in_turn_and_taken_ones_are_left_out():
-    ours = Ports(RANGE[0] - BLOCK, RANGE[0] - BLOCK + 20)
+    ours = PortAllocator(RANGE[0] - BLOCK, RANGE[0] - BLOCK + 20)
     with ExitStack() as stack:
         stack.callback(ours.claim.close)
         first = ours.free(5, socket.SOCK_STREAM)
@@ -52,16 +52,16 @@
         taken.bind(("127.0.0.1", first[-1][1] + 1))
         then = ours.free(5, socket.SOCK_STREAM)
         assert len(set(first + then)) == 10 and taken.getsockname() not in then
-        with pytest.raises(RigError, match="free"):
+        with pytest.raises(DrillProcessError, match="free"):
             ours.free(20, socket.SOCK_STREAM)
 
 
 def test_a_child_made_by_a_fork_has_a_block_of_its_own():
-    before = free_places(1, socket.SOCK_STREAM)[0]
+    before = free_addresses(1, socket.SOCK_STREAM)[0]
     reader, writer = os.pipe()
     child = os.fork()
     if child == 0:
-        os.write(writer, text(free_places(1, socket.SOCK_STREAM)[0]).encode())
+        os.write(writer, text(free_addresses(1, socket.SOCK_STREAM)[0]).encode())
         os._exit(0)
     os.waitpid(child, 0)
     port = int(os.read(reader, 100).decode().rpartition(":")[2])
--- a/tests/test_same_commands.py
+++ b/tests/test_same_commands.py
@@ -4,7 +4,7 @@
 from typing import NamedTuple
 
 import pytest
-from labworlds import ROOT
+from lab_worlds import ROOT
 
 from oakfork import interface
 
@@ -19,7 +19,7 @@
     [
         interface.PushBack(rpc=7, retry_after=10_001),
         interface.PushBack(rpc=8, retry_after=10_000),
-        interface.Cancel(7, 10_000),
+        interface.CancelCallOut(7, 10_000),
         (7, 10_000),
         [PUSH_BACK],
     ],
