--- a/oakfork/lab/scale/traced_gateway.py
+++ b/oakfork/lab/scale/traced_gateway.py
@@ -195,7 +195,7 @@
     def _loop_take(self, original: Callable) -> Callable:
         def take(decision_loop: Any, told: Any) -> None:
             self.index_table = decision_loop.index_table
-            if record := getattr(getattr(told, "exchange", None), "record", None):  # Came, Left, CallOutOver
+            if record := getattr(getattr(told, "exchange", None), "record", None):  # RpcReceived, ClientLeft, ...
                 record.to(DECISION)
             original(decision_loop, told)
 
--- a/tests/test_contracts.py
+++ b/tests/test_contracts.py
@@ -336,8 +336,8 @@
     gemadept, viconship = one.keys
     assert set(force[home][1]) == {gemadept} and set(force[other][1]) == {gemadept, viconship}
     assert force[home][0] == pytest.approx(100_000 / 3, abs=1) and force[home][1][gemadept].part == 26_667
-    one.listed(9)
-    one.listed(6)  # a third of the servers at home are gone
+    one.set_ready_servers(9)
+    one.set_ready_servers(6)  # a third of the servers at home are gone
     assert one.in_force(now)[home][0] == pytest.approx(200_000 / 9, abs=1)
     assert one.in_force(now)[other][0] == pytest.approx(100_000 / 3, abs=1)
     contract, verdict = one.admit_rpc(0xB1)  # an ordinary RPC goes home, where viconship has nothing reserved
