--- a/oakfork/sockets/messages.py
+++ b/oakfork/sockets/messages.py
@@ -52,11 +52,10 @@
 
 def enqueue(queue: trio.MemorySendChannel[LoopEvent], told: LoopEvent) -> None:
     """Sends at once, in the order of the calls. Guards against what is told late or out of order: a task that waited
-    for room could be overtaken (ClientLeft before
-    RpcReceived, and an RPC went on for a client that had gone) or cancelled (a list whose version counted as read was
-    never told). The queue so takes any number, and its length is bounded by who
-    tells: one RPC a connection, one end a call-out or probe, one list a call, and the decision loop has its turn after
-    each turn of theirs. Datagrams, which nothing else bounds, are told by enqueue_datagram."""
+    for room could be overtaken (ClientLeft before RpcReceived, and an RPC went on for a client that had gone) or
+    cancelled (a list whose version counted as read was never told). The queue so takes any number, and its length is
+    bounded by who tells: one RPC a connection, one end a call-out or probe, one list a call, and the decision loop has
+    its turn after each turn of theirs. Datagrams, which nothing else bounds, are told by enqueue_datagram."""
     queue.send_nowait(told)
 
 
--- a/tests/test_scale_added_latency.py
+++ b/tests/test_scale_added_latency.py
@@ -128,7 +128,10 @@
     quotas = SimpleNamespace(owner=lambda ask: (2, 3))
     wrapped = trace._waits(traced_gateway.ADMISSION, traced_gateway.PACE)(admit)
     record = Record("a", traced_gateway.perf_counter_ns())
-    for index_table in (None, SimpleNamespace(rpc_entries=[SimpleNamespace(global_id=SimpleNamespace(record=record))])):
+    for index_table in (
+        None,
+        SimpleNamespace(rpc_entries=[SimpleNamespace(external_id=SimpleNamespace(record=record))]),
+    ):
         log.clear()
         trace.index_table = index_table
         run = wrapped(quotas, rpc)
