--- a/tests/test_contracts.py
+++ b/tests/test_contracts.py
@@ -199,7 +199,7 @@
     [
         ("stretched", lambda self, time: time, [*TWO_BORROW, ("time_goes_on", 950)]),  # a lender counts no margin
         (
-            "started",
+            "initial_share",
             lambda even, now, durations: shares.Share(even, now),
             [*TWO_BORROW, ("restarts", 0)],
         ),  # used at once
--- a/tests/test_control_database.py
+++ b/tests/test_control_database.py
@@ -19,7 +19,7 @@
 CHILD = """
 import sys
 from oakfork.control.messages import Kind, Position, Row
-from oakfork.control.state import as_changes, summed, whole
+from oakfork.control.state import as_changes, total_digest, updated_sums
 from oakfork.control.database import Database
 database = Database(sys.argv[1], most_log=5)
 records, number = database.loaded.records, database.position.number
@@ -28,8 +28,8 @@
     number += 1
     rows = [Row(Kind.SERVER, f"s{part}", b"%d" % number) for part in range(20)]
     changes = as_changes(rows)
-    sums = summed(records, changes)
-    database.commit(Position(term, number), f"set {number}", rows, whole(sums))
+    sums = updated_sums(records, changes)
+    database.commit(Position(term, number), f"set {number}", rows, total_digest(sums))
     records.commit(changes, sums)
     print(number, flush=True)
     database.compact()
@@ -39,7 +39,7 @@
 CLOSED = """
 import sys, threading, time
 from oakfork.control.messages import Kind, Position, Row
-from oakfork.control.state import as_changes, summed, whole
+from oakfork.control.state import as_changes, total_digest, updated_sums
 from oakfork.control.database import Database
 from oakfork.errors import DatabaseError
 
@@ -49,8 +49,8 @@
         while True:
             number += 1
             changes = as_changes(rows := [Row(Kind.SERVER, f"s{part}", b"%d" % number) for part in range(50)])
-            sums = summed(records, changes)
-            database.commit(Position(term, number), f"set {number}", rows, whole(sums))
+            sums = updated_sums(records, changes)
+            database.commit(Position(term, number), f"set {number}", rows, total_digest(sums))
             records.commit(changes, sums)
             database.compact()
     except DatabaseError as error:
--- a/tests/test_port_allocator.py
+++ b/tests/test_port_allocator.py
@@ -15,8 +15,8 @@
 RANGE = 9_000, 9_000 + 4 * BLOCK  # of these tests alone: below the range that all others take from
 ASK = """
 import socket, sys
-from oakfork.lab.port_allocator import free_places
-print(*(port for _, port in free_places(100, socket.SOCK_DGRAM)), flush=True)
+from oakfork.lab.port_allocator import free_addresses
+print(*(port for _, port in free_addresses(100, socket.SOCK_DGRAM)), flush=True)
 sys.stdin.read()
 """
 
