--- a/oakfork/contracts/allocation.py
+++ b/oakfork/contracts/allocation.py
@@ -1,49 +1,80 @@
-"""Deals a contract's parts by recent demand. Pure. What is dealt is advice on who lends to whom: that the parts
-never sum to more than the contract does not rest on it (`shares`)."""
+"""Allocates the shares of a contract or site by recent demand. Pure.
+
+An allocation is advice on who lends to whom. That the shares never sum to more than the whole does not rest on it
+(`shares`). All amounts are thousandths of a leg a second.
+"""
 
 from typing import Mapping, NamedTuple, Sequence
 
-from oakfork.contracts.shares import LENDABLE
+from oakfork.contracts.shares import LENDABLE_TENTHS
 
-HEADROOM = 5, 4  # a gateway gets a quarter more than it was asked for lately
-MOST_LENDERS = 16  # of one borrower, for its messages are bounded
-LEAST = 100  # thousandths of a leg a second: a smaller loan is not worth its messages
+# A gateway's target is a quarter above its recent demand.
+HEADROOM_NUMERATOR = 5
+HEADROOM_DENOMINATOR = 4
+MAX_LENDERS = 16  # for one borrower, because a message has no room for more
+MIN_LOAN = 100  # thousandths of a leg a second; a smaller loan is not worth its messages
 
 
 class Allocation(NamedTuple):
-    """What one gateway is told of one contract."""
+    """What one gateway may lend and should borrow of one contract or site."""
 
-    lends: int  # in all, at most
+    lends: int  # at most, to all borrowers together
     borrows: tuple[tuple[int, int], ...]  # (lender, amount)
 
 
 def target_shares(even: Sequence[int], demand: Mapping[int, int]) -> list[int]:
-    """The part of each gateway; they sum to what the even parts sum to, or a few thousandths less. Who was not
-    heard keeps its even part."""
-    floor = [part - part * LENDABLE[0] // LENDABLE[1] for part in even]
-    want = [max(low, demand[i] * HEADROOM[0] // HEADROOM[1]) if i in demand else even[i] for i, low in enumerate(floor)]
-    whole, wanted = sum(even), sum(want)
-    if wanted <= whole:
-        spare = (whole - wanted) // len(even)
-        return [part + spare for part in want]
-    fixed = [even[i] if i not in demand else floor[i] for i in range(len(even))]
-    room, over = whole - sum(fixed), sum(w - f for w, f in zip(want, fixed, strict=True))
-    return [f + (w - f) * room // over for w, f in zip(want, fixed, strict=True)]
+    """The share that each gateway should have, by its number.
+
+    `even` has the even shares, `demand` the recent demand of the gateways that reported one; the others keep their even
+    share. The targets sum to what the even shares sum to, or a few thousandths less.
+    """
+    minimum = [share - share * LENDABLE_TENTHS // 10 for share in even]
+    wanted = [
+        max(low, demand[gateway] * HEADROOM_NUMERATOR // HEADROOM_DENOMINATOR) if gateway in demand else even[gateway]
+        for gateway, low in enumerate(minimum)
+    ]
+    total = sum(even)
+    if sum(wanted) <= total:
+        spare = (total - sum(wanted)) // len(even)
+        return [share + spare for share in wanted]
+    # Too much is wanted: everybody gets the minimum, and a part of what is wanted beyond it.
+    guaranteed = [minimum[gateway] if gateway in demand else even[gateway] for gateway in range(len(even))]
+    beyond = [want - least for want, least in zip(wanted, guaranteed, strict=True)]
+    available = total - sum(guaranteed)
+    total_beyond = sum(beyond)
+    return [least + more * available // total_beyond for least, more in zip(guaranteed, beyond, strict=True)]
 
 
 def allocate(even: Sequence[int], demand: Mapping[int, int]) -> list[Allocation]:
-    """Who lends to whom: the largest need first, from the largest surplus."""
-    aims = target_shares(even, demand)
-    spare = {i: even[i] - aim for i, aim in enumerate(aims) if even[i] - aim >= LEAST and i in demand}
-    needs = sorted(((aim - even[i], i) for i, aim in enumerate(aims) if aim - even[i] >= LEAST), reverse=True)
-    lends, borrows = dict.fromkeys(range(len(even)), 0), {i: [] for i in range(len(even))}
-    lenders = sorted(spare, key=lambda i: (-spare[i], i))
+    """Who lends to whom, by the gateway's number: the largest need is met first, from the largest surplus.
+
+    `even` and `demand` are as for `target_shares`. Only gateways that reported their demand lend.
+    """
+    targets = target_shares(even, demand)
+    surplus = {
+        gateway: even[gateway] - target
+        for gateway, target in enumerate(targets)
+        if even[gateway] - target >= MIN_LOAN and gateway in demand
+    }
+    needs = sorted(
+        (
+            (target - even[gateway], gateway)
+            for gateway, target in enumerate(targets)
+            if target - even[gateway] >= MIN_LOAN
+        ),
+        reverse=True,
+    )
+    lends = [0] * len(even)
+    borrows: list[list[tuple[int, int]]] = [[] for _ in even]
+    lenders = sorted(surplus, key=lambda gateway: (-surplus[gateway], gateway))
     for need, borrower in needs:
-        while need >= LEAST and lenders and len(borrows[borrower]) < MOST_LENDERS:
+        while need >= MIN_LOAN and lenders and len(borrows[borrower]) < MAX_LENDERS:
             lender = lenders[0]
-            amount = min(need, spare[lender])
+            amount = min(need, surplus[lender])
             borrows[borrower].append((lender, amount))
-            lends[lender], spare[lender], need = lends[lender] + amount, spare[lender] - amount, need - amount
-            if spare[lender] < LEAST:
+            lends[lender] += amount
+            surplus[lender] -= amount
+            need -= amount
+            if surplus[lender] < MIN_LOAN:
                 lenders.pop(0)
-    return [Allocation(lends[i], tuple(borrows[i])) for i in range(len(even))]
+    return [Allocation(lends[gateway], tuple(borrows[gateway])) for gateway in range(len(even))]
--- a/oakfork/contracts/contracts_file.py
+++ b/oakfork/contracts/contracts_file.py
@@ -1,10 +1,11 @@
-"""The operators' book of contracts, TOML: checked by a schema, then as a whole: at no instant may what is reserved
-exceed what the sites can do with the largest one of them lost. Each fault is named by its path, or by the instant and
-the contracts.
+"""The operators' contracts file, TOML: checked by a schema, then as a whole.
+
+At no instant may the contracts reserve more than the sites can do with the largest one of them lost. Each fault is
+named by its path in the file, or by the instant and the contracts.
 """
 
 from dataclasses import dataclass
-from datetime import UTC, date, datetime, time, timedelta
+from datetime import UTC, datetime, time, timedelta
 from itertools import combinations
 from pathlib import Path
 from typing import Any, Iterator, Sequence
@@ -12,263 +13,295 @@
 from oakfork.configuration_schema import against, read_toml
 from oakfork.errors import ContractsFileError
 
-LARGEST_FILE = 1024 * 1024
-MOST_SITES = 10  # all unions of sites are looked at
-MOST_INSTANTS = 100_000
+LARGEST_FILE = 1024 * 1024  # bytes
+MAX_SITES = 10  # the check goes through all sets of sites: 1023 of them
+MAX_INSTANTS = 100_000  # that the check goes through
+RATE_TOLERANCE = 1e-9  # legs a second, for the rounding of sums
 
 
-def _a(kind: str, text: str, **more: Any) -> dict[str, Any]:
-    return {"type": kind, "description": text} | more
+def _value(kind: str, description: str, **more: Any) -> dict[str, Any]:
+    return {"type": kind, "description": description} | more
 
 
-def _table(text: str, properties: dict[str, Any], *required: str) -> dict[str, Any]:
+def _table(description: str, properties: dict[str, Any], *required: str) -> dict[str, Any]:
     return {
         "type": "object",
         "additionalProperties": False,
-        "description": text,
+        "description": description,
         "properties": properties,
         "required": list(required),
     }
 
 
-HOUR = {"type": "string", "pattern": "^([01][0-9]|2[0-3]):[0-5][0-9]$"}
-WINDOW = _table(
+_TIME_OF_DAY = {"type": "string", "pattern": "^([01][0-9]|2[0-3]):[0-5][0-9]$"}
+_WINDOW = _table(
     "when it holds, in UTC",
     {
-        "from": _a("string", "the first instant, with its offset: 2027-01-20T00:00:00Z", pattern="^....-..-..T.*$"),
-        "until": _a("string", "the first instant after it", pattern="^....-..-..T.*$"),
-        "daily_from": HOUR | {"description": "on each day from this time of day in UTC"},
-        "daily_until": HOUR | {"description": "until this one; past midnight if it is not after the first"},
+        "from": _value("string", "the first instant, with its offset: 2027-01-20T00:00:00Z", pattern="^....-..-..T.*$"),
+        "until": _value("string", "the first instant after it", pattern="^....-..-..T.*$"),
+        "daily_from": _TIME_OF_DAY | {"description": "on each day from this time of day in UTC"},
+        "daily_until": _TIME_OF_DAY | {"description": "until this one; past midnight if it is not after the first"},
     },
     "from",
     "until",
 )
-SCHEMA = {"$schema": "https://json-schema.org/draft/2020-12/schema"} | _table(
-    "the book",
+_SITE = _table(
+    "a site",
     {
-        "site": _a(
+        "name": _value("string", "its name", minLength=1, maxLength=64),
+        "legs_per_s": _value("number", "what it can do", exclusiveMinimum=0, maximum=1e6),
+        "home": _value(
+            "boolean",
+            "it has the servers that discovery lists: an ordinary RPC's one leg goes there; the first site if none is",
+        ),
+    },
+    "name",
+    "legs_per_s",
+)
+_CONTRACT = _table(
+    "a contract",
+    {
+        "tenant": _value("string", "who has it; its name in the log and in metrics", minLength=1, maxLength=64),
+        "customers": _value(
             "array",
-            "what legs go to",
+            "ids of the tenant's customers, 16 hex digits each",
             minItems=1,
-            maxItems=MOST_SITES,
-            items=_table(
-                "a site",
-                {
-                    "name": _a("string", "its name", minLength=1, maxLength=64),
-                    "legs_per_s": _a("number", "what it can do", exclusiveMinimum=0, maximum=1e6),
-                    "home": _a(
-                        "boolean",
-                        "it is what discovery lists: where an ordinary RPC's one leg goes; the first if none is",
-                    ),
-                },
-                "name",
-                "legs_per_s",
-            ),
+            maxItems=10_000,
+            uniqueItems=True,
+            items={"type": "string", "pattern": "^[0-9a-f]{16}$"},
         ),
-        "contract": _a(
+        "legs_per_s": _value("number", "reserved over the whole fleet", exclusiveMinimum=0, maximum=1e6),
+        "burst": _value("number", "legs at once beyond the rate, over the whole fleet", minimum=1, maximum=1e6),
+        "open": _value("integer", "legs open at once, over the whole fleet", minimum=1, maximum=1_000_000),
+        "sites": _value(
             "array",
-            "what is reserved",
-            maxItems=500,
-            items=_table(
-                "a contract",
-                {
-                    "tenant": _a(
-                        "string", "whose it is; its name in the log and in figures", minLength=1, maxLength=64
-                    ),
-                    "customers": _a(
-                        "array",
-                        "ids of the tenant's customers, 16 hex digits each",
-                        minItems=1,
-                        maxItems=10_000,
-                        uniqueItems=True,
-                        items={"type": "string", "pattern": "^[0-9a-f]{16}$"},
-                    ),
-                    "legs_per_s": _a("number", "reserved over the whole fleet", exclusiveMinimum=0, maximum=1e6),
-                    "burst": _a("number", "legs at once beyond the rate, over the whole fleet", minimum=1, maximum=1e6),
-                    "open": _a("integer", "legs open at once, over the whole fleet", minimum=1, maximum=1_000_000),
-                    "sites": _a(
-                        "array",
-                        "where; all of them if left out",
-                        items={"type": "string"},
-                        minItems=1,
-                        uniqueItems=True,
-                    ),
-                    "window": _a("array", "when", minItems=1, maxItems=100, items=WINDOW),
-                    "goes": _a(
-                        "integer",
-                        "when the fleet falls below what is reserved, the highest number goes first",
-                        minimum=0,
-                        maximum=1000,
-                    ),
-                },
-                "tenant",
-                "customers",
-                "legs_per_s",
-                "burst",
-                "open",
-                "window",
-                "goes",
-            ),
+            "where it reserves capacity; at all sites if left out",
+            items={"type": "string"},
+            minItems=1,
+            uniqueItems=True,
+        ),
+        "window": _value("array", "when it holds", minItems=1, maxItems=100, items=_WINDOW),
+        "goes": _value(
+            "integer",
+            "when the fleet can do less than is reserved, the contract with the highest number loses its reservation "
+            "first",
+            minimum=0,
+            maximum=1000,
         ),
     },
+    "tenant",
+    "customers",
+    "legs_per_s",
+    "burst",
+    "open",
+    "window",
+    "goes",
+)
+SCHEMA = {"$schema": "https://json-schema.org/draft/2020-12/schema"} | _table(
+    "the contracts file",
+    {
+        "site": _value("array", "the sites that legs go to", minItems=1, maxItems=MAX_SITES, items=_SITE),
+        "contract": _value("array", "reservations", maxItems=500, items=_CONTRACT),
+    },
     "site",
 )
 
 
 @dataclass(frozen=True, slots=True)
 class Window:
+    """When a contract holds, in UTC."""
+
     begins: datetime
-    ends: datetime
-    daily: tuple[time, time] | None
+    ends: datetime  # the first instant after it
+    daily: tuple[time, time] | None  # from, until; past midnight if the second is not after the first
 
     def holds(self, instant: datetime) -> bool:
+        """Whether an instant, in UTC, is inside the window."""
         if not self.begins <= instant < self.ends:
             return False
         if self.daily is None:
             return True
         first, last = self.daily
         now = instant.time()
-        return first <= now < last if first < last else now >= first or now < last
+        if first < last:
+            return first <= now < last
+        return now >= first or now < last
 
 
 @dataclass(frozen=True, slots=True)
 class Contract:
+    """Capacity that a tenant has reserved. Amounts are over the whole fleet."""
+
     tenant: str
-    customers: frozenset[int]
-    rate: float  # legs a second, over the whole fleet
-    burst: float
-    open: int
-    sites: frozenset[str]
+    customers: frozenset[int]  # ids
+    rate: float  # legs a second
+    burst: float  # legs
+    max_open: int  # legs
+    sites: frozenset[str]  # names
     windows: tuple[Window, ...]
-    goes: int
+    shed_order: int  # the contract with the highest number loses its reservation first
 
     def holds(self, instant: datetime) -> bool:
+        """Whether an instant, in UTC, is inside a window of the contract."""
         return any(window.holds(instant) for window in self.windows)
 
 
 @dataclass(frozen=True, slots=True)
 class ContractsFile:
-    sites: tuple[tuple[str, float], ...]
+    """A contracts file that has passed its checks."""
+
+    sites: tuple[tuple[str, float], ...]  # name, legs a second
     contracts: tuple[Contract, ...]
     home: str  # the site of an ordinary RPC's one leg
 
     @property
     def capacity(self) -> float:
+        """What all sites together can do, in legs a second."""
         return sum(rate for _, rate in self.sites)
 
 
 def read(path: str | Path) -> ContractsFile:
-    """Reads and checks; raises ContractsFileError with every fault."""
-    return checked(read_toml(path, LARGEST_FILE, ContractsFileError)[0])
+    """Reads and checks a file; raises ContractsFileError with every fault."""
+    document, _ = read_toml(path, LARGEST_FILE, ContractsFileError)
+    return parse(document)
+
 
+def parse(document: dict[str, Any]) -> ContractsFile:
+    """Checks a parsed TOML document; raises ContractsFileError with every fault.
 
-def checked(told: dict[str, Any]) -> ContractsFile:
-    if faults := against(SCHEMA, told):
+    Overbooking is checked only where there is no other fault.
+    """
+    if faults := against(SCHEMA, document):
         raise ContractsFileError(faults)
     faults = []
-    homes = [site["name"] for site in told["site"] if site.get("home")]
-    faults += [f"site: {' and '.join(homes)} are both home"] if len(homes) > 1 else []
-    book = ContractsFile(
-        tuple((site["name"], float(site["legs_per_s"])) for site in told["site"]),
-        tuple(
-            _contract(row, f"contract[{number}]", told, faults) for number, row in enumerate(told.get("contract", ()))
-        ),
-        (homes or [told["site"][0]["name"]])[0],
+    sites = tuple((site["name"], float(site["legs_per_s"])) for site in document["site"])
+    home = _home(document["site"], faults)
+    names = [name for name, _ in sites]
+    contracts = tuple(
+        _contract(entry, f"contract[{index}]", frozenset(names), faults)
+        for index, entry in enumerate(document.get("contract", ()))
     )
-    names = [name for name, _ in book.sites]
-    faults += [f"site: {name!r} stands there twice" for name in dict.fromkeys(names) if names.count(name) > 1]
-    owners: dict[int, str] = {}
-    for number, contract in enumerate(book.contracts):
-        for customer in sorted(contract.customers):
-            if owners.setdefault(customer, contract.tenant) != contract.tenant:
-                faults.append(f"contract[{number}].customers: {customer:016x} is also of {owners[customer]!r}")
-    if faults := faults or list(_overbooked(book)):
+    faults += [f"site: {name!r} is listed more than once" for name in dict.fromkeys(names) if names.count(name) > 1]
+    faults += _shared_customers(contracts)
+    file = ContractsFile(sites, contracts, home)
+    if faults := faults or list(_overbooked(file)):
         raise ContractsFileError(faults)
-    return book
+    return file
 
 
-def _contract(row: dict[str, Any], path: str, told: dict[str, Any], faults: list[str]) -> Contract:
-    known = {site["name"] for site in told["site"]}
-    sites = frozenset(row.get("sites", known))
-    faults += [f"{path}.sites: there is no site {site!r}" for site in sorted(sites - known)]
+def _home(sites: list[dict[str, Any]], faults: list[str]) -> str:
+    homes = [site["name"] for site in sites if site.get("home")]
+    if len(homes) > 1:
+        faults.append(f"site: {' and '.join(homes)} are marked as home; only one may be")
+    return homes[0] if homes else sites[0]["name"]
+
+
+def _contract(entry: dict[str, Any], path: str, known_sites: frozenset[str], faults: list[str]) -> Contract:
+    sites = frozenset(entry.get("sites", known_sites))
+    faults += [f"{path}.sites: there is no site {site!r}" for site in sorted(sites - known_sites)]
     windows = []
-    for number, window in enumerate(row["window"]):
-        place = f"{path}.window[{number}]"
+    for index, window in enumerate(entry["window"]):
+        window_path = f"{path}.window[{index}]"
         try:
-            begins, ends = (datetime.fromisoformat(window[key]) for key in ("from", "until"))
-            begins, ends = (
-                at.astimezone(UTC) if at.tzinfo else _refused(f"{place}: without an offset, such as Z")
-                for at in (begins, ends)
-            )
-            if begins >= ends:
-                raise ContractsFileError([f"{place}.until: not after from"])
-            if ("daily_from" in window) != ("daily_until" in window):
-                raise ContractsFileError([f"{place}: daily_from and daily_until go together"])
-            daily = (
-                tuple(time.fromisoformat(window[key]) for key in ("daily_from", "daily_until"))
-                if "daily_from" in window
-                else None
-            )
-            windows.append(Window(begins, ends, daily))
+            windows.append(_window(window, window_path))
         except ValueError as error:
-            faults.append(f"{place}: {error}")
+            faults.append(f"{window_path}: {error}")
         except ContractsFileError as error:
             faults += error.faults
-    customers = frozenset(int(text, 16) for text in row["customers"])
     return Contract(
-        row["tenant"], customers, row["legs_per_s"], row["burst"], row["open"], sites, tuple(windows), row["goes"]
+        tenant=entry["tenant"],
+        customers=frozenset(int(text, 16) for text in entry["customers"]),
+        rate=entry["legs_per_s"],
+        burst=entry["burst"],
+        max_open=entry["open"],
+        sites=sites,
+        windows=tuple(windows),
+        shed_order=entry["goes"],
     )
 
 
-def _refused(text: str) -> datetime:
-    raise ContractsFileError([text])
+def _window(window: dict[str, Any], path: str) -> Window:
+    """Raises ValueError for a date or time that there is not, ContractsFileError for any other fault."""
+    begins = datetime.fromisoformat(window["from"])
+    ends = datetime.fromisoformat(window["until"])
+    for key, instant in (("from", begins), ("until", ends)):
+        if not instant.tzinfo:
+            raise ContractsFileError([f"{path}: {key} is {window[key]!r}, without an offset such as Z"])
+    begins = begins.astimezone(UTC)
+    ends = ends.astimezone(UTC)
+    if begins >= ends:
+        raise ContractsFileError([f"{path}.until: {window['until']} is not after from, {window['from']}"])
+    if ("daily_from" in window) != ("daily_until" in window):
+        raise ContractsFileError([f"{path}: only one of daily_from and daily_until is given"])
+    if "daily_from" not in window:
+        return Window(begins, ends, None)
+    daily = time.fromisoformat(window["daily_from"]), time.fromisoformat(window["daily_until"])
+    return Window(begins, ends, daily)
+
+
+def _shared_customers(contracts: Sequence[Contract]) -> list[str]:
+    """A fault for each customer that two tenants claim."""
+    tenants: dict[int, str] = {}  # by customer
+    faults = []
+    for index, contract in enumerate(contracts):
+        for customer in sorted(contract.customers):
+            tenant = tenants.setdefault(customer, contract.tenant)
+            if tenant != contract.tenant:
+                faults.append(f"contract[{index}].customers: {customer:016x} already belongs to tenant {tenant!r}")
+    return faults
 
 
 def _instants(contracts: Sequence[Contract]) -> Iterator[datetime]:
-    """Enough to meet every set of contracts that hold together: each boundary, and the daily beginnings of the day
-    after it (between two boundaries every day is alike)."""
+    """Instants that together meet every set of contracts that hold at the same time.
+
+    These are each boundary of a window, and the daily beginnings within the day after it: between two boundaries every
+    day is alike.
+    """
     windows = [window for contract in contracts for window in contract.windows]
     boundaries = sorted({window.begins for window in windows} | {window.ends for window in windows})
-    hours = sorted({window.daily[0] for window in windows if window.daily})
+    daily_beginnings = sorted({window.daily[0] for window in windows if window.daily})
     for boundary in boundaries:
         yield boundary
-        for day in range(2):
-            on: date = (boundary + timedelta(days=day)).date()
-            for hour in hours:
-                instant = datetime.combine(on, hour, UTC)
+        for days in range(2):
+            day = (boundary + timedelta(days=days)).date()
+            for time_of_day in daily_beginnings:
+                instant = datetime.combine(day, time_of_day, UTC)
                 if boundary <= instant < boundary + timedelta(days=1):
                     yield instant
 
 
-def _overbooked(book: ContractsFile) -> Iterator[str]:
-    """The first instant at which some contracts have more reserved than the sites they may use can do with the
-    largest of all sites lost."""
-    largest = max(rate for _, rate in book.sites)
-    losses = [name for name, rate in book.sites if rate == largest]
-    unions = [
-        frozenset(chosen)
-        for size in range(1, len(book.sites) + 1)
-        for chosen in combinations([name for name, _ in book.sites], size)
-    ]
-    seen: set[frozenset[int]] = set()
-    for number, instant in enumerate(_instants(book.contracts)):
-        if number > MOST_INSTANTS:
-            yield f"contract: over {MOST_INSTANTS} instants to look at; use fewer windows"
+def _overbooked(file: ContractsFile) -> Iterator[str]:
+    """The first instant at which contracts reserve more than their sites can do with the largest of all sites lost."""
+    checked: set[frozenset[int]] = set()  # sets of contracts, by identity
+    for number, instant in enumerate(_instants(file.contracts)):
+        if number > MAX_INSTANTS:
+            yield f"contract: over {MAX_INSTANTS} instants to check; use fewer windows"
             return
-        held = [contract for contract in book.contracts if contract.holds(instant)]
-        key = frozenset(map(id, held))
-        if key in seen:
+        holding = [contract for contract in file.contracts if contract.holds(instant)]
+        identities = frozenset(map(id, holding))
+        if identities in checked:
             continue
-        seen.add(key)
-        for union in unions:
-            inside = [contract for contract in held if contract.sites <= union]
+        checked.add(identities)
+        if fault := _overbooked_sites(file, holding):
+            yield f"contract: at {instant.isoformat()} {fault}"
+            return
+
+
+def _overbooked_sites(file: ContractsFile, holding: Sequence[Contract]) -> str | None:
+    """The first set of sites at which contracts that hold together reserve too much; None if there is none."""
+    names = [name for name, _ in file.sites]
+    largest = max(rate for _, rate in file.sites)
+    losses = [name for name, rate in file.sites if rate == largest]
+    for size in range(1, len(names) + 1):
+        for chosen in combinations(names, size):
+            inside = [contract for contract in holding if contract.sites.issubset(chosen)]
             reserved = sum(contract.rate for contract in inside)
             for lost in losses:
-                able = sum(rate for name, rate in book.sites if name in union and name != lost)
-                if inside and reserved > able + 1e-9:
-                    names = ", ".join(sorted(contract.tenant for contract in inside))
-                    yield (
-                        f"contract: at {instant.isoformat()} {names} have {reserved:g} legs a second reserved at "
-                        f"{', '.join(sorted(union))}, which can do {able:g} without {lost}"
+                capacity = sum(rate for name, rate in file.sites if name in chosen and name != lost)
+                if inside and reserved > capacity + RATE_TOLERANCE:
+                    tenants = ", ".join(sorted(contract.tenant for contract in inside))
+                    return (
+                        f"{tenants} have {reserved:g} legs a second reserved at {', '.join(sorted(chosen))}, whose "
+                        f"capacity without {lost} is {capacity:g}"
                     )
-                    return
+    return None
--- a/oakfork/contracts/messages.py
+++ b/oakfork/contracts/messages.py
@@ -1,46 +1,62 @@
-"""What gateways say to each other of contracts. Types only; packing is fleet/codec.py's. A contract is named by a
-digest of its tenant and place in the book, a site by one of its name."""
+"""Messages between gateways on contracts; `fleet.codec` packs them.
+
+Messages are packed as arrays: the order, types and tags of their fields are the wire format. A contract is named by a
+checksum of its tenant and its position in the contracts file, a site by a checksum of its name.
+"""
 
 from typing import Annotated
 
 import msgspec
 
-from oakfork.leases.messages import Message, Number, Small, Time
+from oakfork.contracts.allocation import MAX_LENDERS
+from oakfork.leases.messages import Message, Time, UInt16, UInt63
+
+MAX_ALLOCATIONS = 8  # in one message
+MAX_DEMANDS = 40  # in one message
+MAX_AMOUNT = 1_000_000_000  # thousandths of a leg a second
 
 Key = Annotated[int, msgspec.Meta(ge=0, le=0xFFFFFFFF)]
-Amount = Annotated[int, msgspec.Meta(ge=0, le=1_000_000_000)]  # thousandths of a leg a second
-Few = Annotated[list[tuple[Small, Amount]], msgspec.Meta(max_length=16)]
+Amount = Annotated[int, msgspec.Meta(ge=0, le=MAX_AMOUNT)]
+Borrows = Annotated[list[tuple[UInt16, Amount]], msgspec.Meta(max_length=MAX_LENDERS)]  # (lender, amount)
 
 
-class Dealt(Message, tag=20):
-    """An act of the allotter upon a gateway: how much it may lend, and from whom to borrow how much."""
+class AllocationUpdate(Message, tag=20):
+    """An act of the "allot" lease's holder upon a gateway: how much it may lend, and from whom to borrow how much."""
 
-    gateway: Small
-    life: Number  # of the gateway acted upon
-    term: Number
+    gateway: UInt16
+    life: UInt63  # of the gateway acted upon
+    term: UInt63
     end: Time
-    deals: Annotated[list[tuple[Key, Amount, Few]], msgspec.Meta(max_length=8)]
+    allocations: Annotated[  # (contract or site, how much to lend at most, loans to ask for)
+        list[tuple[Key, Amount, Borrows]], msgspec.Meta(max_length=MAX_ALLOCATIONS)
+    ]
 
 
-class Demand(Message, tag=21):
-    """What a gateway was asked for lately, and what it may use."""
+class DemandReport(Message, tag=21):
+    """A gateway's recent demand, and what it may use."""
 
-    gateway: Small
-    asked: Annotated[list[tuple[Key, Amount, Amount]], msgspec.Meta(max_length=40)]
+    gateway: UInt16
+    demands: Annotated[  # (contract or site, demand, what the gateway may use now)
+        list[tuple[Key, Amount, Amount]], msgspec.Meta(max_length=MAX_DEMANDS)
+    ]
 
 
-class Borrow(Message, tag=22):
-    gateway: Small
-    life: Number
-    number: Number
+class LoanRequest(Message, tag=22):
+    """A gateway asks another for a loan."""
+
+    gateway: UInt16
+    life: UInt63  # of the borrower
+    number: UInt63  # of the request
     key: Key
     amount: Amount
     length: Time
 
 
-class Lent(Message, tag=23):
-    lender: Small
-    life: Number
-    number: Number
+class LoanGrant(Message, tag=23):
+    """A gateway lends what it was asked for, or less."""
+
+    lender: UInt16
+    life: UInt63  # of the borrower
+    number: UInt63  # of the request
     key: Key
     amount: Amount
--- a/oakfork/contracts/runner.py
+++ b/oakfork/contracts/runner.py
@@ -1,11 +1,12 @@
-"""The trio part of contracts at one gateway: what it deals if it holds the lease, what it lends and borrows, and its
-gate."""
+"""Runs the contracts of one gateway under trio: admission, loans, and allocation while it holds the "allot" lease."""
 
 import time
 import zlib
 from collections import Counter
+from collections.abc import Iterator
 from datetime import UTC, datetime
-from typing import Any
+from itertools import islice
+from typing import Any, Iterable, NamedTuple, TypeVar
 
 import trio
 from structlog.stdlib import BoundLogger
@@ -13,227 +14,356 @@
 from oakfork.contracts import allocation, shares
 from oakfork.contracts.admission import AdmissionResult, ContractAdmission, Tenant, fit_to_capacity
 from oakfork.contracts.contracts_file import Contract, ContractsFile, read
-from oakfork.contracts.messages import Borrow, Dealt, Demand, Lent
+from oakfork.contracts.messages import (
+    MAX_ALLOCATIONS,
+    MAX_AMOUNT,
+    MAX_DEMANDS,
+    AllocationUpdate,
+    DemandReport,
+    LoanGrant,
+    LoanRequest,
+)
 from oakfork.errors import ContractsFileError, log_fields
 from oakfork.fleet.config import FleetFile
 from oakfork.fleet.transport import DatagramTransport, steady_clock
 from oakfork.leases.durations import LeaseDurations
-from oakfork.leases.fence import Verdict as Judged
+from oakfork.leases.fence import Verdict
 from oakfork.leases.runner import LeaseRunner
 
-DEAL_EVERY = 0.5  # seconds
-KEPT = 4  # deals are heeded, and demand believed, for so many times that
-LOAN = 20_000  # tenths of a millisecond that a loan is counted by who borrows
-FRESH = 200  # what is in force is looked up anew after that
-LATELY = 0.4  # weight of the last interval in the demand
+TENTHS_PER_SECOND = 10_000
+ALLOCATION_INTERVAL = 0.5  # seconds
+# For that long allocations are followed, and reports of demand count, without newer ones: four intervals.
+REPORT_LIFETIME = round(4 * ALLOCATION_INTERVAL * TENTHS_PER_SECOND)  # tenths of a millisecond
+LOAN_LENGTH = 20_000  # tenths of a millisecond that a borrower counts a loan for
+RENEWALS_PER_LOAN = 3  # requests within the length of a loan, so that one lost request costs no loan
+IN_FORCE_LIFETIME = 200  # tenths of a millisecond for which `Contracts.in_force` is not computed again
+DEMAND_WEIGHT = 0.4  # of the last interval in the moving average of demand
+MIN_INTERVAL = 1e-3  # seconds; a shorter interval counts as this one for a rate
 
+Item = TypeVar("Item")
 
-def key_of(contract: Contract, place: int) -> int:
-    return zlib.crc32(f"{contract.tenant}/{place}".encode())
+
+class DemandOfGateway(NamedTuple):
+    """What a gateway has reported to the allocator."""
+
+    received: int  # tenths of a millisecond
+    by_key: dict[int, int]  # thousandths of a leg a second
+
+
+class CurrentAllocation(NamedTuple):
+    """What this gateway may lend and should borrow of one contract or site."""
+
+    until: int  # tenths of a millisecond
+    lends: int
+    borrows: tuple[tuple[int, int], ...]  # (lender, amount)
+
+
+class PendingLoan(NamedTuple):
+    """A request for a loan; a grant counts until LOAN_LENGTH after it."""
+
+    key: int
+    lender: int
+    asked_at: int  # tenths of a millisecond
+
+
+class SiteInForce(NamedTuple):
+    """What a site can do for this gateway now, and the tenants that have reserved capacity there."""
+
+    rate: int  # thousandths of a leg a second
+    tenants: dict[int, Tenant]  # by key
+
+
+NO_ALLOCATION = CurrentAllocation(0, 0, ())
+
+
+def key_of(contract: Contract, position: int) -> int:
+    """The key of a contract at a position in the contracts file."""
+    return zlib.crc32(f"{contract.tenant}/{position}".encode())
 
 
 def key_of_site(name: str) -> int:
+    """The key of a site."""
     return zlib.crc32(f"site/{name}".encode())
 
 
+def _batches(items: list[Item], size: int) -> Iterator[list[Item]]:
+    remaining = iter(items)
+    while batch := list(islice(remaining, size)):
+        yield batch
+
+
 class Contracts:
+    """The contracts at one gateway. Contracts and sites are known by their keys."""
+
     def __init__(
-        self, path: str, file: FleetFile, me: int, transport: DatagramTransport, leases: LeaseRunner, log: BoundLogger
+        self,
+        path: str,
+        fleet_file: FleetFile,
+        gateway: int,
+        transport: DatagramTransport,
+        leases: LeaseRunner,
+        log: BoundLogger,
     ) -> None:
-        self.path, self.file, self.me, self.transport, self.leases, self.log = path, file, me, transport, leases, log
-        self.gateways, self.life = len(file.addresses), leases.life
-        self.durations = LeaseDurations(LOAN, file.durations.drift, 0, LOAN)
-        self.gate = ContractAdmission(steady_clock())
-        self.parts: dict[int, shares.Share] = {}  # as many as contracts and sites
-        self.asked: Counter[int] = Counter()  # legs in this interval, by key
+        """Reads the contracts file at `path`, and registers the handlers of messages with the transport.
+
+        `gateway` is this gateway's number. Raises ContractsFileError.
+        """
+        self.path = path
+        self.gateway = gateway
+        self.gateways = len(fleet_file.addresses)
+        self.transport = transport
+        self.leases = leases
+        self.log = log
+        self.durations = LeaseDurations(LOAN_LENGTH, fleet_file.durations.drift, 0, LOAN_LENGTH)
+        self.admission = ContractAdmission(steady_clock())
+        self.shares: dict[int, shares.Share] = {}  # of each contract and site
+        self.legs_asked: Counter[int] = Counter()  # in this interval, by key
         self.demand: dict[int, float] = {}  # legs a second, by key
-        self.heard: dict[int, tuple[int, dict[int, int]]] = {}  # as allotter: gateway -> when, demand by key
-        self.deal: dict[int, tuple[int, int, tuple[tuple[int, int], ...]]] = {}  # key -> until, lends, borrows
-        self.out: dict[int, tuple[int, int, int]] = {}  # an asking -> key, lender, when; dropped after LOAN
-        self.number = 0
-        self.ready, self.most = 0, 0  # servers that are listed as ready; the most so far
-        # When what is in force was looked up, and that: by site what it can do here, and whose windows hold there.
-        self.looked, self.force = -FRESH, {}
-        self.take(read(path))
-        for kind, handler in ((Dealt, self._dealt), (Demand, self._demand), (Borrow, self._borrow), (Lent, self._lent)):
-            transport.handlers[kind] = handler
-
-    def take(self, book: ContractsFile) -> None:
-        """A book: parts of contracts that are in both go on."""
+        self.reported_demand: dict[int, DemandOfGateway] = {}  # by gateway, while this one allocates
+        self.allocations: dict[int, CurrentAllocation] = {}  # by key
+        self.pending_loans: dict[int, PendingLoan] = {}  # by the request's number; dropped after LOAN_LENGTH
+        self.last_loan_request = 0  # number
+        self.ready_servers = 0  # that are listed now
+        self.most_ready_servers = 0  # so far
+        self.in_force_computed = -IN_FORCE_LIFETIME  # tenths of a millisecond
+        self.sites_in_force: dict[int, SiteInForce] = {}  # by key
+        self._use(read(path))
+        transport.handlers |= {
+            AllocationUpdate: self._on_allocations,
+            DemandReport: self._on_demand,
+            LoanRequest: self._on_loan_request,
+            LoanGrant: self._on_loan_grant,
+        }
+
+    def _use(self, file: ContractsFile) -> None:
+        """Puts a file in force; shares of contracts and sites that were there before keep their loans."""
         now = steady_clock()
-        self.book = book
-        self.keys = {key_of(contract, place): contract for place, contract in enumerate(book.contracts)}
-        self.owners: dict[int, list[int]] = {}
+        self.file = file
+        self.keys = {key_of(contract, position): contract for position, contract in enumerate(file.contracts)}
+        self.keys_of_customer: dict[int, list[int]] = {}
         for key, contract in self.keys.items():
             for customer in contract.customers:
-                self.owners.setdefault(customer, []).append(key)
-        self.home = key_of_site(book.home)
-        rates = self.rates()
-        for key in [key for key in self.parts if key not in rates]:
-            del self.parts[key]
+                self.keys_of_customer.setdefault(customer, []).append(key)
+        self.home = key_of_site(file.home)
+        rates = self._rates()
+        for key in [key for key in self.shares if key not in rates]:
+            del self.shares[key]
         for key, rate in rates.items():
-            even = shares.even_share(rate, self.me, self.gateways)
-            self.parts[key] = (
-                self.parts[key]._replace(even=even)
-                if key in self.parts
-                else shares.initial_share(even, now, self.durations)
-            )
-        self.looked = -FRESH
+            even = shares.even_share(rate, self.gateway, self.gateways)
+            if key in self.shares:
+                self.shares[key] = self.shares[key]._replace(even=even)
+            else:
+                self.shares[key] = shares.initial_share(even, now, self.durations)
+        self._expire_in_force()
 
-    def rates(self) -> dict[int, float]:
-        """What is dealt: each contract, and what each site can do."""
-        return {key: contract.rate for key, contract in self.keys.items()} | {
-            key_of_site(name): rate for name, rate in self.book.sites
-        }
+    def _rates(self) -> dict[int, float]:
+        """The legs a second of each contract and site, by key."""
+        of_contracts = {key: contract.rate for key, contract in self.keys.items()}
+        of_sites = {key_of_site(name): rate for name, rate in self.file.sites}
+        return of_contracts | of_sites
 
     def reread(self) -> None:
-        """On SIGHUP. A book that is not usable changes nothing."""
+        """On SIGHUP, reads the file again; one that is not usable changes nothing."""
         try:
-            self.take(read(self.path))
+            self._use(read(self.path))
         except ContractsFileError as error:
-            self.log.error("the new book is not usable, the old one holds", **log_fields(error))
+            self.log.error(
+                "contracts file not reloaded: it is not usable, the previous one stays in force", **log_fields(error)
+            )
         else:
-            self.log.info("book read anew", contracts=len(self.book.contracts))
-
-    # The gate
-
-    def in_force(self, now: int) -> dict[int, tuple[int, dict[int, Tenant]]]:
-        """By site: what it can do here, and the tenants that may use it and whose window holds."""
-        if now >= self.looked + FRESH:
-            instant, self.looked = datetime.now(UTC), now
-            held = {key: contract for key, contract in self.keys.items() if contract.holds(instant)}
-            tenants = {
-                key: Tenant(
-                    self.parts[key].now(now),
-                    contract.burst / self.gateways,
-                    shares.even(contract.open, self.me, self.gateways),
-                    contract.goes,
-                )
-                for key, contract in held.items()
-            }
-            self.force = {}
-            for name, _ in self.book.sites:
-                site = key_of_site(name)
-                able = self.ready / self.most if site == self.home and self.most else 1.0
-                whole = int(self.parts[site].now(now) * able)
-                there = {key: tenant for key, tenant in tenants.items() if name in held[key].sites}
-                self.force[site] = whole, fit_to_capacity(there, whole)
-        return self.force
+            self.log.info("contracts file reloaded", contracts=len(self.file.contracts))
+
+    # Admission
+
+    def in_force(self, now: int) -> dict[int, SiteInForce]:
+        """What each site can do for this gateway now, and the tenants that have reserved capacity there, by key."""
+        if now >= self.in_force_computed + IN_FORCE_LIFETIME:
+            self.in_force_computed = now
+            self.sites_in_force = self._compute_in_force(now, datetime.now(UTC))
+        return self.sites_in_force
+
+    def _compute_in_force(self, now: int, instant: datetime) -> dict[int, SiteInForce]:
+        holding = {key: contract for key, contract in self.keys.items() if contract.holds(instant)}
+        tenants = {
+            key: Tenant(
+                share=self.shares[key].now(now),
+                burst=contract.burst / self.gateways,
+                max_open=shares.even_split(contract.max_open, self.gateway, self.gateways),
+                shed_order=contract.shed_order,
+            )
+            for key, contract in holding.items()
+        }
+        in_force = {}
+        for name, _ in self.file.sites:
+            site = key_of_site(name)
+            available = 1.0  # share of what the site can do
+            if site == self.home and self.most_ready_servers:
+                available = self.ready_servers / self.most_ready_servers
+            rate = int(self.shares[site].now(now) * available)
+            at_site = {key: tenant for key, tenant in tenants.items() if name in holding[key].sites}
+            in_force[site] = SiteInForce(rate, fit_to_capacity(at_site, rate))
+        return in_force
+
+    def _expire_in_force(self) -> None:
+        self.in_force_computed = -IN_FORCE_LIFETIME
 
     def admit_rpc(self, customer: int, legs: int = 1, site: int | None = None) -> tuple[int | None, AdmissionResult]:
-        """Whether legs of that customer may go to that site (home if none) now, and what contract reserves them."""
-        now, site = steady_clock(), self.home if site is None else site
-        whole, tenants = self.in_force(now)[site]
-        who = next((key for key in self.owners.get(customer, ()) if key in tenants), None)
-        self.asked[site] += legs
-        if who is not None:
-            self.asked[who] += legs
-        verdict = self.gate.admit(now, who, whole, tenants, legs, site)
-        return (who if verdict.reserved else None), verdict
+        """Admits legs of a customer to a site, the home site if none is given, or says how long to wait.
+
+        Returns the key of the contract that reserves the legs, None if none does, and the result.
+        """
+        now = steady_clock()
+        if site is None:
+            site = self.home
+        rate, tenants = self.in_force(now)[site]
+        key = next((key for key in self.keys_of_customer.get(customer, ()) if key in tenants), None)
+        self.legs_asked[site] += legs
+        if key is not None:
+            self.legs_asked[key] += legs
+        result = self.admission.admit(now, key, rate, tenants, legs, site)
+        return (key if result.reserved else None), result
 
     def rpc_ended(self, contract: int | None, sent: bool) -> None:
-        """An ordinary RPC's leg has ended; one that was never sent comes back."""
+        """Ends an ordinary RPC's one leg; one that was never sent is refunded.
+
+        `contract` is the key that `admit_rpc` returned.
+        """
         if contract is not None:
-            self.gate.over(contract)
+            self.admission.end_reserved(contract)
         if not sent:
-            self.gate.unsent(contract, contract is not None, site=self.home)
+            self.admission.refund(contract, contract is not None, site=self.home)
 
     def set_ready_servers(self, ready: int) -> None:
-        self.ready, self.most = ready, max(self.most, ready)
-        self.looked = -FRESH
+        """Takes the number of listed servers that are ready; the home site's capacity follows it."""
+        self.ready_servers = ready
+        self.most_ready_servers = max(self.most_ready_servers, ready)
+        self._expire_in_force()
 
-    # Dealing
+    # Allocation
 
     async def run(self) -> None:
+        """Measures demand, allocates while this gateway holds the lease, and renews loans, until cancelled."""
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._count)
-            nursery.start_soon(self._deal)
-            nursery.start_soon(self._renew)
+            nursery.start_soon(self._measure_demand)
+            nursery.start_soon(self._allocate)
+            nursery.start_soon(self._renew_loans)
 
-    async def _count(self) -> None:
-        last = time.monotonic()
+    async def _measure_demand(self) -> None:
+        measured = time.monotonic()
         while True:
-            await trio.sleep(DEAL_EVERY)
+            await trio.sleep(ALLOCATION_INTERVAL)
             now = time.monotonic()
-            for key in self.parts:
-                rate = self.asked[key] / max(1e-3, now - last)
-                self.demand[key] = rate * LATELY + self.demand.get(key, rate) * (1 - LATELY)
-            self.asked.clear()
-            last = now
+            interval = max(MIN_INTERVAL, now - measured)
+            for key in self.shares:
+                rate = self.legs_asked[key] / interval
+                self.demand[key] = rate * DEMAND_WEIGHT + self.demand.get(key, rate) * (1 - DEMAND_WEIGHT)
+            self.legs_asked.clear()
+            measured = now
 
-    async def _deal(self) -> None:
+    async def _allocate(self) -> None:
         while True:
-            await trio.sleep(DEAL_EVERY)
+            await trio.sleep(ALLOCATION_INTERVAL)
             if not self.leases.holds("allot"):
-                self.heard.clear()
+                self.reported_demand.clear()
                 continue
-            since = steady_clock() - round(KEPT * DEAL_EVERY * 10_000)
-            self.heard = {gateway: told for gateway, told in self.heard.items() if told[0] > since}
-            rates = self.rates()
-            deals: list[list[Any]] = [[] for _ in range(self.gateways)]
-            for key, rate in rates.items():
-                even = [shares.even_share(rate, gateway, self.gateways) for gateway in range(self.gateways)]
-                demand = {gateway: asked[key] for gateway, (_, asked) in self.heard.items() if key in asked}
-                for gateway, deal in enumerate(allocation.allocate(even, demand)):
-                    deals[gateway].append((key, deal.lends, list(deal.borrows)))
-            for gateway, rows in enumerate(deals):
-                for first in range(0, len(rows), 8):
-                    if (may := self.leases.may_act("allot", gateway)) is not None:
-                        term, life, end = may
-                        self.transport.send(gateway, Dealt(self.me, life, term, end, rows[first : first + 8]))
+            oldest = steady_clock() - REPORT_LIFETIME
+            self.reported_demand = {
+                gateway: reported for gateway, reported in self.reported_demand.items() if reported.received > oldest
+            }
+            for gateway, rows in enumerate(self._allocations_of_gateways()):
+                self._send_allocations(gateway, rows)
                 await trio.lowlevel.checkpoint()
 
-    def _dealt(self, sender: int, dealt: Dealt) -> None:
-        if self.leases.judge("allot", dealt.life, dealt.term, dealt.end) is not Judged.TAKEN:
+    def _allocations_of_gateways(self) -> list[list[Any]]:
+        """Rows of `AllocationUpdate.allocations`, by gateway."""
+        rows: list[list[Any]] = [[] for _ in range(self.gateways)]
+        for key, rate in self._rates().items():
+            even = [shares.even_share(rate, gateway, self.gateways) for gateway in range(self.gateways)]
+            demand = {
+                gateway: reported.by_key[key]
+                for gateway, reported in self.reported_demand.items()
+                if key in reported.by_key
+            }
+            for gateway, allocated in enumerate(allocation.allocate(even, demand)):
+                rows[gateway].append((key, allocated.lends, list(allocated.borrows)))
+        return rows
+
+    def _send_allocations(self, gateway: int, rows: list[Any]) -> None:
+        for batch in _batches(rows, MAX_ALLOCATIONS):
+            permit = self.leases.begin_act("allot", gateway)
+            if permit is not None:
+                update = AllocationUpdate(self.gateway, permit.life, permit.term, permit.end, batch)
+                self.transport.send(gateway, update)
+
+    def _on_allocations(self, sender: int, update: AllocationUpdate) -> None:
+        """Follows the allocations if the fence accepts the act, and reports this gateway's demand to the allocator."""
+        if self.leases.check_act("allot", update.life, update.term, update.end) is not Verdict.TAKEN:
             return
         now = steady_clock()
-        for key, lends, borrows in dealt.deals:
-            if key in self.parts:
-                self.deal[key] = now + round(KEPT * DEAL_EVERY * 10_000), lends, tuple(borrows)
-        rows = [
-            (key, min(1_000_000_000, round(self.demand.get(key, 0.0) * 1000)), part.now(now))
-            for key, part in self.parts.items()
+        for key, lends, borrows in update.allocations:
+            if key in self.shares:
+                self.allocations[key] = CurrentAllocation(now + REPORT_LIFETIME, lends, tuple(borrows))
+        demands = [
+            (key, min(MAX_AMOUNT, round(self.demand.get(key, 0.0) * 1000)), share.now(now))
+            for key, share in self.shares.items()
         ]
-        for first in range(0, len(rows), 40):
-            self.transport.send(sender, Demand(self.me, rows[first : first + 40]))
-
-    def _demand(self, sender: int, demand: Demand) -> None:
-        if demand.gateway == sender:
-            _, asked = self.heard.get(sender, (0, {}))
-            self.heard[sender] = (
-                steady_clock(),
-                asked | {key: amount for key, amount, _ in demand.asked if key in self.parts},
-            )
+        for batch in _batches(demands, MAX_DEMANDS):
+            self.transport.send(sender, DemandReport(self.gateway, batch))
+
+    def _on_demand(self, sender: int, report: DemandReport) -> None:
+        if report.gateway != sender:
+            return
+        demand = {key: amount for key, amount, _ in report.demands if key in self.shares}
+        if sender in self.reported_demand:
+            demand = self.reported_demand[sender].by_key | demand
+        self.reported_demand[sender] = DemandOfGateway(steady_clock(), demand)
 
     # Loans
 
-    async def _renew(self) -> None:
+    async def _renew_loans(self) -> None:
         while True:
-            await trio.sleep(LOAN / 30_000)
+            await trio.sleep(LOAN_LENGTH / RENEWALS_PER_LOAN / TENTHS_PER_SECOND)
             now = steady_clock()
-            self.out = {number: asking for number, asking in self.out.items() if now < asking[2] + LOAN}
-            for key, (until, _, borrows) in self.deal.items():
-                for lender, amount in borrows if now < until and key in self.parts else ():
-                    if lender < self.gateways and lender != self.me:
-                        self.number += 1
-                        self.out[self.number] = key, lender, steady_clock()
-                        self.transport.send(lender, Borrow(self.me, self.life, self.number, key, amount, LOAN))
-
-    def _borrow(self, sender: int, borrow: Borrow) -> None:
-        now, (until, lends, _) = steady_clock(), self.deal.get(borrow.key, (0, 0, ()))
-        if borrow.gateway != sender or borrow.key not in self.parts or now >= until or borrow.length > LOAN:
+            self.pending_loans = {
+                number: loan for number, loan in self.pending_loans.items() if now < loan.asked_at + LOAN_LENGTH
+            }
+            for key, current in self.allocations.items():
+                if now < current.until and key in self.shares:
+                    self._ask_for_loans(key, current.borrows)
+
+    def _ask_for_loans(self, key: int, borrows: Iterable[tuple[int, int]]) -> None:
+        for lender, amount in borrows:
+            if lender >= self.gateways or lender == self.gateway:
+                continue
+            self.last_loan_request += 1
+            number = self.last_loan_request
+            self.pending_loans[number] = PendingLoan(key, lender, steady_clock())
+            request = LoanRequest(self.gateway, self.leases.life, number, key, amount, LOAN_LENGTH)
+            self.transport.send(lender, request)
+
+    def _on_loan_request(self, sender: int, request: LoanRequest) -> None:
+        now = steady_clock()
+        key = request.key
+        current = self.allocations.get(key, NO_ALLOCATION)
+        if request.gateway != sender or key not in self.shares:
+            return
+        if now >= current.until or request.length > LOAN_LENGTH:
             return
-        self.parts[borrow.key], amount = shares.lends(
-            self.parts[borrow.key], now, sender, borrow.amount, lends, self.durations
+        self.shares[key], amount = shares.lends(
+            self.shares[key], now, sender, request.amount, current.lends, self.durations
         )
-        self.looked = -FRESH
+        self._expire_in_force()
         if amount:
-            self.transport.send(sender, Lent(self.me, borrow.life, borrow.number, borrow.key, amount))
+            self.transport.send(sender, LoanGrant(self.gateway, request.life, request.number, key, amount))
 
-    def _lent(self, sender: int, lent: Lent) -> None:
-        key, lender, asked_at = self.out.get(lent.number, (-1, -1, 0))
-        if lent.life == self.life and lent.lender == sender == lender and lent.key == key and key in self.parts:
-            self.parts[key] = shares.borrowed(
-                self.parts[key], steady_clock(), lender, lent.amount, asked_at, self.durations
-            )
-            self.looked = -FRESH
+    def _on_loan_grant(self, sender: int, grant: LoanGrant) -> None:
+        loan = self.pending_loans.get(grant.number)
+        if loan is None or grant.life != self.leases.life:
+            return
+        from_lender = grant.lender == sender == loan.lender
+        if not from_lender or grant.key != loan.key or loan.key not in self.shares:
+            return
+        self.shares[loan.key] = shares.borrowed(
+            self.shares[loan.key], steady_clock(), loan.lender, grant.amount, loan.asked_at, self.durations
+        )
+        self._expire_in_force()
--- a/oakfork/fleet/codec.py
+++ b/oakfork/fleet/codec.py
@@ -1,13 +1,13 @@
-"""Frames between the gateways of a fleet, by msgspec: typed, bounded, and refused as a whole where anything is off.
+"""Frames between the gateways of a fleet, by msgspec: typed, bounded, and refused as a whole if any part is malformed.
 
-Measured against `struct` on the messages of leases (experiments/fleet_codec.py): docs/fleet.md.
+experiments/fleet_codec.py compares msgspec with `struct` on lease messages; docs/fleet.md has the result.
 """
 
 from typing import Any, Sequence
 
 import msgspec
 
-from oakfork.contracts.messages import Borrow, Dealt, Demand, Lent
+from oakfork.contracts.messages import AllocationUpdate, DemandReport, LoanGrant, LoanRequest
 from oakfork.fleet.config import FleetRevision
 from oakfork.leases.messages import (
     ActReply,
@@ -16,46 +16,53 @@
     ClockReply,
     ClockRequest,
     Grant,
-    Number,
     Refusal,
     Release,
-    Small,
+    UInt16,
+    UInt63,
     VoteFreed,
 )
 
-LARGEST = 1200  # bytes of a frame: under what any path carries whole
-MOST = 32  # messages in one
-VERSION = 1
+LARGEST = 1200  # bytes of a frame: small enough that no path fragments it
+MAX_MESSAGES = 32  # in one frame
+VERSION = 1  # of the format; frames of any other are refused
 
-Lease = Ask | Grant | Refusal | Release | VoteFreed | ClockRequest | ClockReply | ActRequest | ActReply
+LeaseMessage = Ask | Grant | Refusal | Release | VoteFreed | ClockRequest | ClockReply | ActRequest | ActReply
 
 
 class Frame(msgspec.Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
-    version: Small
-    sender: Small
-    revision: Number
+    """One datagram. It is packed as an array: the order of the fields is the wire format."""
+
+    version: UInt16
+    sender: UInt16
+    revision: UInt63
     digest: int
-    before: int
-    messages: list[Lease | Dealt | Demand | Borrow | Lent]
+    previous_digest: int
+    messages: list[LeaseMessage | AllocationUpdate | DemandReport | LoanRequest | LoanGrant]
 
     @property
     def edition(self) -> FleetRevision:
-        return FleetRevision(self.revision, self.digest, self.before)
+        """The sender's revision of the fleet file."""
+        return FleetRevision(self.revision, self.digest, self.previous_digest)
 
 
-_encoder, _decoder = msgspec.msgpack.Encoder(), msgspec.msgpack.Decoder(Frame)
+_encoder = msgspec.msgpack.Encoder()
+_decoder = msgspec.msgpack.Decoder(Frame)
 
 
 def pack(sender: int, edition: FleetRevision, messages: Sequence[Any]) -> bytes:
+    """Encodes a frame; the caller keeps it within `LARGEST` and `MAX_MESSAGES`."""
     return _encoder.encode(Frame(VERSION, sender, *edition, list(messages)))
 
 
 def unpack(data: bytes) -> Frame | None:
-    """The frame; None where it is too long, not ours, or not whole."""
+    """Decodes a frame; None if it is too long, malformed, of another version, or has too many messages."""
     if len(data) > LARGEST:
         return None
     try:
         frame = _decoder.decode(data)
     except (msgspec.MsgspecError, RecursionError):
         return None
-    return frame if frame.version == VERSION and len(frame.messages) <= MOST else None
+    if frame.version != VERSION or len(frame.messages) > MAX_MESSAGES:
+        return None
+    return frame
--- a/oakfork/fleet/services.py
+++ b/oakfork/fleet/services.py
@@ -1,4 +1,4 @@
-"""What a gateway runs for its fleet, put together. Imported only where LB_FLEET names a file."""
+"""The services that a gateway runs for its fleet. Imported only where LB_FLEET names a file."""
 
 import os
 from typing import TYPE_CHECKING, Any, Callable
@@ -14,45 +14,68 @@
 from oakfork.sockets.discovery import server_rows
 
 if TYPE_CHECKING:
+    from oakfork.contracts.runner import Contracts
     from oakfork.control.agent import Agent
 
-LOOK = 0.1  # seconds between looks for the first state of the control part
+FIRST_STATE_POLL = 0.1  # seconds between checks whether the agent has its first state
 
 
 class FleetServices:
-    """`listed` takes servers in discovery's form, and must not wait. Raises FleetError or AddressInUseError where it
-    can't start."""
+    """Leases and the datagram transport, and where they are configured, contracts and the control part's agent."""
 
     def __init__(
-        self, path: str, here: GatewayConfiguration, log: BoundLogger, listed: Callable[[list[dict[str, Any]]], None]
+        self,
+        path: str,
+        configuration: GatewayConfiguration,
+        log: BoundLogger,
+        on_servers: Callable[[list[dict[str, Any]]], None],
     ) -> None:
+        """Reads the fleet file at `path` and binds the socket.
+
+        `on_servers` takes changes of the list of servers in discovery's form, and must not block. Raises FleetError,
+        ContractsFileError or AddressInUseError if the services can't start.
+        """
         self.file = read(path)
-        me = here.settings.index
-        if me >= len(self.file.addresses):
-            raise FleetError([f"addresses: none for this gateway, whose settings.index is {me}"])
+        gateway = configuration.settings.index
+        if gateway >= len(self.file.addresses):
+            raise FleetError([f"addresses: none for this gateway, whose settings.index is {gateway}"])
         self.log = log
-        self.transport = DatagramTransport(self.file, me)
-        self.leases = LeaseRunner(self.file, me, self.transport, log)
-        book = os.environ.get("LB_CONTRACTS")
-        self.contracts = None
-        if book:
-            from oakfork.contracts.runner import Contracts
-
-            self.contracts = Contracts(book, self.file, me, self.transport, self.leases, log)
-        self.listed = listed
-        self.known = [str(row["id"]) for row in server_rows(here.known) if isinstance(row, dict) and "id" in row]
-        self.agent = self._agent(here, log)  # what follows the control part; None where the file has none
-
-    def _agent(self, here: GatewayConfiguration, log: BoundLogger) -> "Agent | None":
-        if not self.file.control:
+        self.transport = DatagramTransport(self.file, gateway)
+        self.leases = LeaseRunner(self.file, gateway, self.transport, log)
+        self.contracts = self._contracts(gateway)
+        self.on_servers = on_servers
+        self.configured_servers = [
+            str(row["id"]) for row in server_rows(configuration.known) if isinstance(row, dict) and "id" in row
+        ]
+        self.agent = self._agent(configuration)
+
+    def _contracts(self, gateway: int) -> "Contracts | None":
+        """The contracts of this gateway; None unless LB_CONTRACTS names a file."""
+        path = os.environ.get("LB_CONTRACTS")
+        if not path:
+            return None
+        from oakfork.contracts.runner import Contracts
+
+        return Contracts(path, self.file, gateway, self.transport, self.leases, self.log)
+
+    def _agent(self, configuration: GatewayConfiguration) -> "Agent | None":
+        """What follows the control part; None if the fleet file has no `control` table."""
+        control = self.file.control
+        if not control:
             return None
         from oakfork.control.agent import Agent
 
         return Agent(
-            here.name, self.file.control.relays, here.settings.seed, log, self.listed, self.file.control.service
+            configuration.name,
+            control.relays,
+            configuration.settings.seed,
+            self.log,
+            self.on_servers,
+            control.service,
         )
 
     async def run(self) -> None:
+        """Runs all services until cancelled."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self.transport.run)
             nursery.start_soon(self.leases.run)
@@ -60,30 +83,36 @@
                 nursery.start_soon(self.contracts.run)
             if self.agent:
                 nursery.start_soon(self.agent.run)
-                nursery.start_soon(self._settle)
+                nursery.start_soon(self._remove_unknown_servers)
             if self.file.drill:
-                nursery.start_soon(LeaseDrillClient(self.leases, self.file.drill.target, self.file.drill.every).run)
+                client = LeaseDrillClient(self.leases, self.file.drill.target, self.file.drill.interval)
+                nursery.start_soon(client.run)
 
-    async def _settle(self) -> None:
-        """Once the first state is there, what the configuration knew and the state doesn't is gone."""
+    async def _remove_unknown_servers(self) -> None:
+        """Once the agent has its first state, removes configured servers that the state does not have."""
         from oakfork.control.agent import SLICE
         from oakfork.control.messages import EMPTY, Kind
 
         while self.agent.position == EMPTY:
-            await trio.sleep(LOOK)
-        names, self.known = self.known, []
-        for at in range(0, len(names), SLICE):
-            gone = [name for name in names[at : at + SLICE] if self.agent.record(Kind.SERVER, name) is None]
-            if gone:
-                self.listed([{"id": name, "state": "removed"} for name in gone])
+            await trio.sleep(FIRST_STATE_POLL)
+        names = self.configured_servers
+        self.configured_servers = []
+        for start in range(0, len(names), SLICE):
+            removed = [name for name in names[start : start + SLICE] if self.agent.record(Kind.SERVER, name) is None]
+            if removed:
+                self.on_servers([{"id": name, "state": "removed"} for name in removed])
             await trio.lowlevel.checkpoint()
 
     def reread(self) -> None:
-        """On SIGHUP: the book of contracts. The fleet file is for the start: its editions follow each other by
-        restarts."""
+        """On SIGHUP, reads the contracts file again. A change of the fleet file takes a restart of the gateway."""
         if self.contracts:
             self.contracts.reread()
 
     async def leave(self) -> None:
-        await self.leases.leave()  # the control part is followed to the end: servers may drain until then
-        self.log.info("left the fleet", **{reason.replace(" ", "_"): n for reason, n in self.transport.counts.items()})
+        """Gives up the leases, and logs the counts of the transport.
+
+        The agent goes on: servers may drain until the process ends.
+        """
+        await self.leases.leave()
+        counts = {reason.replace(" ", "_"): count for reason, count in self.transport.counts.items()}
+        self.log.info("left the fleet", **counts)
--- a/oakfork/leases/holder.py
+++ b/oakfork/leases/holder.py
@@ -1,8 +1,10 @@
-"""A contender for one task, and its holder while it has a lease. Pure: state and time in, state and messages out.
+"""A contender for one task, which is the holder while it has the lease.
 
-A lease counts from when the round was asked that a majority answered. Whoever acts looks at its clock first
-(`holds`), and gives the act an end (`fence`) that what it acts upon checks on a clock of its own: between the look
-and the act a process may have been stopped for any time.
+Pure: state and time go in, new state and messages come out.
+
+A lease counts from the start of the round that a majority granted. Whoever acts checks its clock first
+(`Contender.holds`), and gives the act an end (`fence`) that the resource checks on its own clock: between the check and
+the act a process may have been stopped for any time.
 """
 
 from typing import NamedTuple
@@ -10,124 +12,157 @@
 from oakfork.leases.durations import LeaseDurations
 from oakfork.leases.messages import Ask, Grant, Refusal, Release
 
+NEVER = 1 << 62  # a time that does not come, in tenths of a millisecond
+MAX_BACKOFF_DOUBLINGS = 8
+
 
 class Contender(NamedTuple):
-    me: int
-    life: int
-    voters: tuple[int, ...]
-    known: int = 0  # the highest term heard of
+    """A contender's state for one task. Times are on its own clock."""
+
+    gateway: int
+    life: int  # a random number drawn when the gateway starts
+    voters: tuple[int, ...]  # gateways' numbers
+    highest_term: int = 0  # heard of
     term: int = 0  # asked for or held
     round: int = 0  # of asking; grows
-    asked: bool = False  # a round is out
-    asked_at: int = 0
-    grants: frozenset[int] = frozenset()  # to this round
-    refusals: frozenset[int] = frozenset()
-    soonest: int = 0  # the least wait that this round's refusals name
-    until: int = 0  # the lease, on this clock; 0: none
-    acting: int = 0  # the last end of an act so far
-    wake: int = 0  # when `woken` has something to do
-    failed: int = 0  # rounds in a row without a majority
+    round_open: bool = False  # a round has been sent to the voters
+    round_started: int = 0
+    grants: frozenset[int] = frozenset()  # voters that granted this round
+    refusals: frozenset[int] = frozenset()  # voters that refused it
+    shortest_wait: int = 0  # that refusals of this round name
+    lease_end: int = 0  # 0: no lease
+    last_act_end: int = 0  # by which all acts so far have ended
+    wake: int = 0  # when `on_timer` is due
+    failed_rounds: int = 0  # in a row, without a majority
     leaving: bool = False
 
     def holds(self, now: int) -> bool:
-        """Whether it may act now. Ask anew before each act."""
-        return now < self.until and not self.leaving
+        """Whether it may act now; to be checked again before each act."""
+        return now < self.lease_end and not self.leaving
 
     @property
     def majority(self) -> int:
+        """The least number of voters that is more than half of them."""
         return len(self.voters) // 2 + 1
 
 
-NEVER = 1 << 62
 OutgoingMessages = tuple[Ask | Release, ...]  # to all voters
 
 
 def on_timer(
-    one: Contender, now: int, durations: LeaseDurations, task: int, chance: float
+    contender: Contender, now: int, durations: LeaseDurations, task: int, jitter: float
 ) -> tuple[Contender, OutgoingMessages]:
-    """Its time has come: asks, asks for longer, gives up a round, or leaves. `chance` is drawn from 0 to 1."""
-    if now < one.wake:
-        return one, ()
-    if one.leaving:  # what it did last is over
-        return one._replace(until=0, round=one.round + 1, wake=NEVER), _release(one, task)
-    if one.until and now >= one.until or one.asked and not one.until:
-        # The lease is over, and the next has a term of its own; or a round brought no majority in time.
-        return _given_up(one._replace(until=0), now, durations, task, chance, 0)
-    term = one.term if one.until else max(one.known, one.term) + 1
-    one = one._replace(
-        known=max(one.known, term),
+    """Starts a round, renews the lease, gives up a round or leaves, if that is due.
+
+    `jitter` is drawn from 0 to 1, below 1.
+    """
+    if now < contender.wake:
+        return contender, ()
+    if contender.leaving:  # its last act has ended
+        left = contender._replace(lease_end=0, round=contender.round + 1, wake=NEVER)
+        return left, _release(contender, task)
+    lease_expired = contender.lease_end != 0 and now >= contender.lease_end
+    round_timed_out = contender.round_open and not contender.lease_end
+    if lease_expired or round_timed_out:
+        # After a lease that expired, the next one has a term of its own.
+        return _give_up(contender._replace(lease_end=0), now, durations, task, jitter, 0)
+    return _start_round(contender, now, durations, task)
+
+
+def _start_round(
+    contender: Contender, now: int, durations: LeaseDurations, task: int
+) -> tuple[Contender, OutgoingMessages]:
+    """Asks all voters: for longer in the term that is held, or else in a new one."""
+    term = contender.term
+    if not contender.lease_end:
+        term = max(contender.highest_term, contender.term) + 1
+    contender = contender._replace(
+        highest_term=max(contender.highest_term, term),
         term=term,
-        round=one.round + 1,
-        asked=True,
-        asked_at=now,
+        round=contender.round + 1,
+        round_open=True,
+        round_started=now,
         grants=frozenset(),
         refusals=frozenset(),
-        soonest=NEVER,
-        wake=now + durations.patience,
+        shortest_wait=NEVER,
+        wake=now + durations.round_timeout,
     )
-    return one, (Ask(task, one.me, one.life, term, one.round, durations.lease),)
+    return contender, (Ask(task, contender.gateway, contender.life, term, contender.round, durations.lease),)
 
 
-def on_grant(one: Contender, now: int, grant: Grant, durations: LeaseDurations) -> Contender:
-    """A vote; with a majority of the round the lease holds until its length after the round was asked."""
-    if (grant.life, grant.term, grant.round) != (one.life, one.term, one.round) or grant.voter not in one.voters:
-        return one  # of another life or round: what was released since must not count
-    one = one._replace(grants=one.grants | {grant.voter})
-    until = one.asked_at + durations.lease
-    if len(one.grants) >= one.majority and until > now and not one.leaving:
-        wake = min(until, max(now + 1, one.asked_at + durations.renewal))
-        one = one._replace(until=max(one.until, until), wake=wake, failed=0)
-    return one
+def on_grant(contender: Contender, now: int, grant: Grant, durations: LeaseDurations) -> Contender:
+    """Counts a vote; a majority in one round gives the lease, counted from the start of that round."""
+    of_this_round = (grant.life, grant.term, grant.round) == (contender.life, contender.term, contender.round)
+    if not of_this_round or grant.voter not in contender.voters:
+        return contender  # a vote of another life or round may have been released since: it must not count
+    contender = contender._replace(grants=contender.grants | {grant.voter})
+    lease_end = contender.round_started + durations.lease
+    if len(contender.grants) >= contender.majority and lease_end > now and not contender.leaving:
+        wake = min(lease_end, max(now + 1, contender.round_started + durations.renewal_interval))
+        contender = contender._replace(lease_end=max(contender.lease_end, lease_end), wake=wake, failed_rounds=0)
+    return contender
 
 
 def on_refusal(
-    one: Contender, now: int, refusal: Refusal, durations: LeaseDurations, task: int, chance: float
+    contender: Contender, now: int, refusal: Refusal, durations: LeaseDurations, task: int, jitter: float
 ) -> tuple[Contender, OutgoingMessages]:
-    """A refusal tells of higher terms, and from when the voter could vote otherwise."""
-    if refusal.life != one.life or refusal.voter not in one.voters:
-        return one, ()
-    one = one._replace(known=max(one.known, refusal.highest))
-    if refusal.round != one.round or one.until or one.leaving:
-        return one, ()
-    one = one._replace(refusals=one.refusals | {refusal.voter}, soonest=min(one.soonest, refusal.wait))
-    if len(one.voters) - len(one.refusals) >= one.majority:
-        return one, ()
-    return _given_up(one, now, durations, task, chance, one.soonest)
+    """Learns the voter's highest term, and gives the round up once too few voters are left for a majority."""
+    if refusal.life != contender.life or refusal.voter not in contender.voters:
+        return contender, ()
+    contender = contender._replace(highest_term=max(contender.highest_term, refusal.highest_term))
+    if refusal.round != contender.round or contender.lease_end or contender.leaving:
+        return contender, ()
+    contender = contender._replace(
+        refusals=contender.refusals | {refusal.voter}, shortest_wait=min(contender.shortest_wait, refusal.wait)
+    )
+    if len(contender.voters) - len(contender.refusals) >= contender.majority:
+        return contender, ()
+    return _give_up(contender, now, durations, task, jitter, contender.shortest_wait)
 
 
-def on_free(one: Contender, now: int) -> Contender:
-    """A hint that the vote is free: asks at once."""
-    return one if one.until or one.leaving or one.grants else one._replace(wake=min(one.wake, now))
+def on_free(contender: Contender, now: int) -> Contender:
+    """Takes a hint that a vote is free: the next round starts at once."""
+    if contender.lease_end or contender.leaving or contender.grants:
+        return contender
+    return contender._replace(wake=min(contender.wake, now))
 
 
-def on_leave(one: Contender, now: int, durations: LeaseDurations) -> Contender:
-    """Stops acting at once; the votes are released when the last act has ended for sure."""
-    return one._replace(leaving=True, wake=max(now, one.acting))
+def on_leave(contender: Contender, now: int, durations: LeaseDurations) -> Contender:
+    """Stops acting at once; the votes are released when the last act has certainly ended."""
+    return contender._replace(leaving=True, wake=max(now, contender.last_act_end))
 
 
-def begin_act(one: Contender, now: int, durations: LeaseDurations) -> tuple[Contender, int]:
-    """The end of an act begun now, on this clock; 0: it may not act."""
-    if not one.holds(now):
-        return one, 0
-    end = min(one.until, now + durations.act)
-    return one._replace(acting=max(one.acting, end)), end
+def begin_act(contender: Contender, now: int, durations: LeaseDurations) -> tuple[Contender, int]:
+    """The end of an act that begins now, on this clock; 0 if the contender may not act."""
+    if not contender.holds(now):
+        return contender, 0
+    end = min(contender.lease_end, now + durations.act)
+    return contender._replace(last_act_end=max(contender.last_act_end, end)), end
 
 
-def _given_up(
-    one: Contender, now: int, durations: LeaseDurations, task: int, chance: float, wait: int
+def _give_up(
+    contender: Contender, now: int, durations: LeaseDurations, task: int, jitter: float, wait: int
 ) -> tuple[Contender, OutgoingMessages]:
-    """Gives votes back that were no majority, and waits: as long as a voter said, and by chance up to a time that
-    doubles from the patience to the lease, so that contenders don't duel."""
-    spread = min(durations.lease, durations.patience << min(one.failed, 8))
-    return one._replace(
-        round=one.round + 1,
-        asked=False,
+    """Releases votes that were no majority, and backs off.
+
+    The next round starts after the wait that a voter named, and a random time up to a limit that doubles from the
+    round timeout to the length of the lease, so that contenders don't keep splitting the votes.
+    """
+    doublings = min(contender.failed_rounds, MAX_BACKOFF_DOUBLINGS)
+    backoff = min(durations.lease, durations.round_timeout << doublings)
+    given_up = contender._replace(
+        round=contender.round + 1,
+        round_open=False,
         grants=frozenset(),
         refusals=frozenset(),
-        failed=one.failed + 1,
-        wake=now + wait + 1 + int(chance * spread),
-    ), _release(one, task)
+        failed_rounds=contender.failed_rounds + 1,
+        wake=now + wait + 1 + int(jitter * backoff),
+    )
+    return given_up, _release(contender, task)
 
 
-def _release(one: Contender, task: int) -> OutgoingMessages:
-    return (Release(task, one.me, one.life, one.term),) if one.term else ()
+def _release(contender: Contender, task: int) -> OutgoingMessages:
+    """Gives back the votes for the current term, if there is one."""
+    if not contender.term:
+        return ()
+    return (Release(task, contender.gateway, contender.life, contender.term),)
--- a/oakfork/leases/runner.py
+++ b/oakfork/leases/runner.py
@@ -1,11 +1,12 @@
-"""The trio part of leases: one task for the voters and contenders of all tasks, and the acts of a holder.
+"""Runs the leases of one gateway under trio: its votes and contenders for all tasks, and its acts while it holds one.
 
-It owns the machines' states; whoever wants to act asks `may_act` each time and sends the act with the end it returns.
+`LeaseRunner` owns their states. Whoever wants to act calls `begin_act` before each act, and sends the act with the
+permit that it returns.
 """
 
 import random
 import time
-from typing import Any
+from typing import NamedTuple
 
 import trio
 from structlog.stdlib import BoundLogger
@@ -25,204 +26,248 @@
     VoteFreed,
 )
 
-TASKS = ("allot", "survey", "drill")  # the table of tasks is this one: no more, whatever comes
-MOST_VIEWS = 1024  # of guards; the one not used for the longest goes
+TASKS = ("allot", "survey", "drill")  # the only tasks that leases exist for; messages carry the index
+MAX_CLOCK_VIEWS = 1024  # clocks of resources; the one refreshed the longest ago is dropped
+MAX_CLOCK_REQUESTS = 64  # without a reply; the oldest is dropped
+RANDOM_BITS = 62  # of a life or a nonce: within UInt63 on the wire
+MAX_SLEEP = 3600.0  # seconds
+LEAVE_POLL = 0.002  # seconds
+
+Resource = int | tuple[str, int]  # a gateway's number, or the address of a resource outside the fleet
+
+
+class ActPermit(NamedTuple):
+    """What a holder sends with an act, so that the resource's fence accepts it."""
+
+    term: int
+    life: int  # of the resource
+    end: int  # of the act, on the resource's clock
 
 
 class LeaseRunner:
-    def __init__(self, file: FleetFile, me: int, transport: DatagramTransport, log: BoundLogger) -> None:
-        self.file, self.me, self.transport, self.log = file, me, transport, log
-        self.chance = random.SystemRandom()
-        self.life = self.chance.getrandbits(62)
-        now, floor = (
-            steady_clock(),
-            time.time_ns() // 1_000_000,
-        )  # terms begin above all that came before: docs/leases.md
-        self.votes = (
-            {task: voter.initial_vote(now, file.durations, floor) for task in range(len(TASKS))}
-            if me in file.voters
-            else {}
-        )
-        self.ones = (
-            {task: holder.Contender(me, self.life, file.voters, wake=now + self._first()) for task in range(len(TASKS))}
-            if me in file.voters
-            else {}
-        )
-        self.guards = {task: fence.Fence(self.chance.getrandbits(62)) for task in range(len(TASKS))}
-        self.views: dict[tuple[int, Any], fence.ClockView] = {}  # (task, whom) -> its clock; bounded by MOST_VIEWS
-        self.hellos: dict[int, tuple[int, Any]] = {}  # nonce -> of whom; emptied by the answer, or 64 at most
-        self.nudged = trio.Event()
-        self.held: dict[int, int] = {}  # task -> the term told of in the log
-        for kind, handler in (
-            (Ask, self._asked),
-            (Grant, self._granted),
-            (Refusal, self._refused),
-            (Release, self._released),
-            (VoteFreed, self._freed),
-            (ClockRequest, self._hello),
-            (ClockReply, self._clock),
-        ):
-            transport.handlers[kind] = handler
-
-    def _first(self) -> int:
-        return int(self.chance.random() * self.file.durations.patience)
-
-    # For those who act
+    """The votes, contenders and fences of one gateway, one of each for each task.
+
+    Only voters of the fleet file have votes and contenders; every gateway has fences.
+    """
+
+    def __init__(self, file: FleetFile, gateway: int, transport: DatagramTransport, log: BoundLogger) -> None:
+        """Registers the handlers of lease messages with the transport. `gateway` is this gateway's number."""
+        self.file = file
+        self.gateway = gateway
+        self.transport = transport
+        self.log = log
+        self.random = random.SystemRandom()
+        self.life = self.random.getrandbits(RANDOM_BITS)
+        self.votes: dict[int, voter.Vote] = {}  # by task
+        self.contenders: dict[int, holder.Contender] = {}  # by task
+        if gateway in file.voters:
+            self._start_voting()
+        self.fences = {task: fence.Fence(self.random.getrandbits(RANDOM_BITS)) for task in range(len(TASKS))}
+        self.clock_views: dict[tuple[int, Resource], fence.ClockView] = {}  # by task and resource, oldest first
+        self.clock_requests: dict[int, tuple[int, Resource]] = {}  # nonce -> task and resource; without a reply yet
+        self.state_changed = trio.Event()  # wakes `run` before its next timer
+        self.logged_terms: dict[int, int] = {}  # task -> the last term whose lease has been logged
+        self._register_handlers()
+
+    def _start_voting(self) -> None:
+        now = steady_clock()
+        floor = time.time_ns() // 1_000_000  # so that terms begin above all earlier ones: docs/leases.md
+        for task in range(len(TASKS)):
+            self.votes[task] = voter.initial_vote(now, self.file.durations, floor)
+            start_delay = int(self.random.random() * self.file.durations.round_timeout)
+            self.contenders[task] = holder.Contender(self.gateway, self.life, self.file.voters, wake=now + start_delay)
+
+    def _register_handlers(self) -> None:
+        self.transport.handlers |= {
+            Ask: self._on_ask,
+            Grant: self._on_grant,
+            Refusal: self._on_refusal,
+            Release: self._on_release,
+            VoteFreed: self._on_free,
+            ClockRequest: self._on_clock_request,
+            ClockReply: self._on_clock_reply,
+        }
+
+    # For holders, and for resources at this gateway
 
     def holds(self, task: str) -> bool:
-        one = self.ones.get(TASKS.index(task))
-        return one is not None and one.holds(steady_clock())
+        """Whether this gateway holds the lease of a task now."""
+        contender = self.contenders.get(TASKS.index(task))
+        return contender is not None and contender.holds(steady_clock())
 
     def term(self, task: str) -> int:
-        one = self.ones.get(TASKS.index(task))
-        return one.term if one is not None else 0
+        """The term that this gateway holds or has asked for last; 0 if it never contended."""
+        contender = self.contenders.get(TASKS.index(task))
+        return contender.term if contender is not None else 0
 
-    def may_act(self, task: str, upon: Any) -> tuple[int, int, int] | None:
-        """The term, the life of what is acted upon and the act's end on its clock; None where it may not act now,
-        or does not know that clock yet (then it has asked)."""
+    def begin_act(self, task: str, resource: Resource) -> ActPermit | None:
+        """A permit for one act that begins now; None if this gateway may not act now.
+
+        It may not without the lease, nor before it knows the resource's clock, for which it then asks.
+        """
         number = TASKS.index(task)
-        one, now = self.ones.get(number), steady_clock()
-        if one is None or not one.holds(now):
+        contender = self.contenders.get(number)
+        now = steady_clock()
+        if contender is None or not contender.holds(now):
             return None
-        view = self.views.get((number, upon))
-        if view is None or now > view.at + self.file.durations.stale:
-            self._greet(number, upon)
+        view = self.clock_views.get((number, resource))
+        if view is None or now > view.our_time + self.file.durations.stale:
+            self._request_clock(number, resource)
             if view is None:
                 return None
-        self.ones[number], end = holder.begin_act(one, now, self.file.durations)
-        return one.term, view.life, fence.end_on_their_clock(view, end, self.file.durations)
+        self.contenders[number], end = holder.begin_act(contender, now, self.file.durations)
+        their_end = fence.end_on_their_clock(view, end, self.file.durations)
+        return ActPermit(contender.term, view.life, their_end)
 
-    def forget(self, task: str, upon: Any) -> None:
-        """It has started anew: what is known of its clock is void."""
-        self.views.pop((TASKS.index(task), upon), None)
+    def forget_clock(self, task: str, resource: Resource) -> None:
+        """Drops what is known of the clock of a resource that has restarted."""
+        self.clock_views.pop((TASKS.index(task), resource), None)
 
-    def judge(self, task: str, life: int, term: int, end: int) -> fence.Verdict:
-        """Whether an act upon this gateway has its effect now."""
+    def check_act(self, task: str, life: int, term: int, end: int) -> fence.Verdict:
+        """Decides whether an act upon this gateway has its effect now, and counts it if not."""
         number = TASKS.index(task)
-        self.guards[number], verdict = fence.check_act(self.guards[number], steady_clock(), life, term, end)
+        self.fences[number], verdict = fence.check_act(self.fences[number], steady_clock(), life, term, end)
         if verdict is not fence.Verdict.TAKEN:
             self.transport.counts[f"acts refused: {verdict.value}"] += 1
         return verdict
 
-    def _greet(self, task: int, upon: Any) -> None:
-        nonce = self.chance.getrandbits(62)
-        if len(self.hellos) >= 64:
-            self.hellos.pop(next(iter(self.hellos)))
-        self.hellos[nonce] = task, upon
-        hello = ClockRequest(task, self.me, nonce)
-        if isinstance(upon, int):
-            self.transport.send(upon, hello)
+    def _request_clock(self, task: int, resource: Resource) -> None:
+        nonce = self.random.getrandbits(RANDOM_BITS)
+        if len(self.clock_requests) >= MAX_CLOCK_REQUESTS:
+            self.clock_requests.pop(next(iter(self.clock_requests)))
+        self.clock_requests[nonce] = task, resource
+        request = ClockRequest(task, self.gateway, nonce)
+        if isinstance(resource, int):
+            self.transport.send(resource, request)
         else:
-            self.transport.send_to(upon, hello)
+            self.transport.send_to(resource, request)
 
-    # What comes
+    # Handlers of messages
 
-    def _asked(self, sender: int, ask: Ask) -> None:
+    def _on_ask(self, sender: int, ask: Ask) -> None:
         if ask.task in self.votes and ask.gateway == sender:
-            vote, reply = voter.on_ask(self.votes[ask.task], steady_clock(), ask, self.file.durations, self.me)
+            vote, reply = voter.on_ask(self.votes[ask.task], steady_clock(), ask, self.file.durations, self.gateway)
             self.votes[ask.task] = vote
             self.transport.send(sender, reply)
 
-    def _released(self, sender: int, release: Release) -> None:
+    def _on_release(self, sender: int, release: Release) -> None:
         if release.task in self.votes and release.gateway == sender:
-            self.votes[release.task], hint = voter.on_release(
-                self.votes[release.task], steady_clock(), release, self.me
-            )
+            vote, hint = voter.on_release(self.votes[release.task], steady_clock(), release, self.gateway)
+            self.votes[release.task] = vote
             if hint:
                 self.transport.send(*hint)
 
-    def _granted(self, sender: int, grant: Grant) -> None:
-        if grant.task in self.ones and grant.voter == sender:
-            self.ones[grant.task] = holder.on_grant(self.ones[grant.task], steady_clock(), grant, self.file.durations)
-            self._told(grant.task)
-
-    def _refused(self, sender: int, refusal: Refusal) -> None:
-        if refusal.task in self.ones and refusal.voter == sender:
-            self.ones[refusal.task], said = holder.on_refusal(
-                self.ones[refusal.task],
+    def _on_grant(self, sender: int, grant: Grant) -> None:
+        if grant.task in self.contenders and grant.voter == sender:
+            contender = self.contenders[grant.task]
+            self.contenders[grant.task] = holder.on_grant(contender, steady_clock(), grant, self.file.durations)
+            self._log_new_lease(grant.task)
+            self.state_changed.set()
+
+    def _on_refusal(self, sender: int, refusal: Refusal) -> None:
+        if refusal.task in self.contenders and refusal.voter == sender:
+            self.contenders[refusal.task], messages = holder.on_refusal(
+                self.contenders[refusal.task],
                 steady_clock(),
                 refusal,
                 self.file.durations,
                 refusal.task,
-                self.chance.random(),
+                self.random.random(),
             )
-            self._say(said)
-
-    def _freed(self, sender: int, free: VoteFreed) -> None:
-        if free.task in self.ones:
-            self.ones[free.task] = holder.on_free(self.ones[free.task], steady_clock())
-            self.nudged.set()
-
-    def _hello(self, sender: int, hello: ClockRequest) -> None:
-        if hello.task in self.guards:
-            self.transport.send(sender, fence.clock_reply(self.guards[hello.task], steady_clock(), hello))
-
-    def _clock(self, sender: int, told: ClockReply) -> None:
-        task, upon = self.hellos.pop(told.nonce, (-1, None))
-        if task == told.task:
-            while len(self.views) >= MOST_VIEWS:
-                self.views.pop(next(iter(self.views)))
-            self.views.pop((task, upon), None)
-            self.views[task, upon] = fence.ClockView(told.life, told.clock, steady_clock())
-
-    def _told(self, task: int) -> None:
-        one = self.ones[task]
-        if one.until and self.held.get(task) != one.term:
-            self.held[task] = one.term
-            self.log.info("holds a lease", task=TASKS[task], term=one.term)
-        self.nudged.set()
-
-    def _say(self, said: holder.OutgoingMessages) -> None:
-        for message in said:
-            for to in self.file.voters:
-                self.transport.send(to, message)
-
-    # Time
+            self._send_to_voters(messages)
+
+    def _on_free(self, sender: int, hint: VoteFreed) -> None:
+        if hint.task in self.contenders:
+            self.contenders[hint.task] = holder.on_free(self.contenders[hint.task], steady_clock())
+            self.state_changed.set()
+
+    def _on_clock_request(self, sender: int, request: ClockRequest) -> None:
+        if request.task in self.fences:
+            self.transport.send(sender, fence.clock_reply(self.fences[request.task], steady_clock(), request))
+
+    def _on_clock_reply(self, sender: int, reply: ClockReply) -> None:
+        task, resource = self.clock_requests.pop(reply.nonce, (-1, None))
+        if task != reply.task:
+            return
+        while len(self.clock_views) >= MAX_CLOCK_VIEWS:
+            self.clock_views.pop(next(iter(self.clock_views)))
+        self.clock_views.pop((task, resource), None)
+        self.clock_views[task, resource] = fence.ClockView(reply.life, reply.clock, steady_clock())
+
+    def _log_new_lease(self, task: int) -> None:
+        contender = self.contenders[task]
+        if contender.lease_end and self.logged_terms.get(task) != contender.term:
+            self.logged_terms[task] = contender.term
+            self.log.info("holds a lease", task=TASKS[task], term=contender.term)
+
+    def _send_to_voters(self, messages: holder.OutgoingMessages) -> None:
+        for message in messages:
+            for gateway in self.file.voters:
+                self.transport.send(gateway, message)
+
+    # Timers
 
     async def run(self) -> None:
+        """Calls the contenders when their timers are due, until cancelled."""
         while True:
-            self.nudged = trio.Event()
+            self.state_changed = trio.Event()
             now = steady_clock()
-            for task, one in self.ones.items():
-                if one.wake <= now:
-                    after, said = holder.on_timer(one, now, self.file.durations, task, self.chance.random())
-                    if one.until and not after.until:
-                        self.log.info("a lease is over", task=TASKS[task], term=one.term)
-                    self.ones[task] = after
-                    self._say(said)
-            due = min((one.wake for one in self.ones.values()), default=holder.NEVER)
-            with trio.move_on_after(min(3600.0, max(0.0, (due - steady_clock()) / 10_000))):
-                await self.nudged.wait()
+            for task, contender in self.contenders.items():
+                if contender.wake <= now:
+                    self._fire_timer(task, contender, now)
+            due = min((contender.wake for contender in self.contenders.values()), default=holder.NEVER)
+            with trio.move_on_after(min(MAX_SLEEP, max(0.0, (due - steady_clock()) / 10_000))):
+                await self.state_changed.wait()
+
+    def _fire_timer(self, task: int, contender: holder.Contender, now: int) -> None:
+        after, messages = holder.on_timer(contender, now, self.file.durations, task, self.random.random())
+        if contender.lease_end and not after.lease_end:
+            self.log.info("lease ended", task=TASKS[task], term=contender.term)
+        self.contenders[task] = after
+        self._send_to_voters(messages)
 
     async def leave(self) -> None:
-        """Hands over: acts no more at once, and gives its votes back when its last act has ended."""
+        """Stops acting at once, and returns when the votes are released, after the last act has ended."""
         now = steady_clock()
-        self.ones = {task: holder.on_leave(one, now, self.file.durations) for task, one in self.ones.items()}
-        self.nudged.set()
-        while any(one.wake != holder.NEVER for one in self.ones.values()):
-            await trio.sleep(0.002)
+        self.contenders = {
+            task: holder.on_leave(contender, now, self.file.durations) for task, contender in self.contenders.items()
+        }
+        self.state_changed.set()
+        while any(contender.wake != holder.NEVER for contender in self.contenders.values()):
+            await trio.sleep(LEAVE_POLL)
 
 
 class LeaseDrillClient:
-    """Acts again and again upon a stand-in while it holds the lease of its own: docs/leases.md."""
+    """Acts repeatedly upon a fenced resource outside the fleet while it holds the "drill" lease: docs/leases.md."""
 
-    def __init__(self, leases: LeaseRunner, target: tuple[str, int], every: float) -> None:
-        self.leases, self.target, self.every = leases, target, every
-        self.number = 0
-        leases.transport.numbers.setdefault(target, OUTSIDE_GATEWAY)
-        leases.transport.handlers[ActReply] = self._acted
+    def __init__(self, leases: LeaseRunner, target: tuple[str, int], interval: float) -> None:
+        """Lets the transport take replies from `target`. `interval` is in seconds, between two acts."""
+        self.leases = leases
+        self.target = target
+        self.interval = interval
+        self.acts_sent = 0
+        leases.transport.gateways.setdefault(target, OUTSIDE_GATEWAY)
+        leases.transport.handlers[ActReply] = self._on_act_reply
 
     async def run(self) -> None:
+        """Acts once an interval, until cancelled."""
         while True:
-            await trio.sleep(self.every)
-            if may := self.leases.may_act("drill", self.target):
-                term, life, end = may
-                self.number += 1
-                self.leases.transport.send_to(
-                    self.target,
-                    ActRequest(TASKS.index("drill"), self.leases.me, life, self.leases.life, term, end, self.number),
-                )
-
-    def _acted(self, sender: int, acted: ActReply) -> None:
-        if acted.verdict == list(fence.Verdict).index(fence.Verdict.STRANGE):
-            self.leases.forget("drill", self.target)
+            await trio.sleep(self.interval)
+            if permit := self.leases.begin_act("drill", self.target):
+                self.acts_sent += 1
+                self.leases.transport.send_to(self.target, self._request(permit))
+
+    def _request(self, permit: ActPermit) -> ActRequest:
+        return ActRequest(
+            TASKS.index("drill"),
+            self.leases.gateway,
+            permit.life,
+            self.leases.life,
+            permit.term,
+            permit.end,
+            self.acts_sent,
+        )
+
+    def _on_act_reply(self, sender: int, reply: ActReply) -> None:
+        if reply.verdict == list(fence.Verdict).index(fence.Verdict.OTHER_LIFE):
+            self.leases.forget_clock("drill", self.target)
--- a/oakfork/leases/voter.py
+++ b/oakfork/leases/voter.py
@@ -1,8 +1,8 @@
-"""A voter of one task. Pure: each function takes the state and the time, and returns the new state and what to say.
+"""A voter of one task. Pure: each function takes the state and the time, and returns the new state and the reply.
 
-A vote is exclusive: while it is given, and not released, nobody else gets it. It counts from when it is given, on this
-clock, for as long as the lease may last on any other. A voter that has started has forgotten whom it voted for, and
-abstains for as long.
+A vote is exclusive: while it is given, and not released, no other contender gets it. It counts from when it is given,
+on the voter's clock, for as long as the lease may last on any other. A voter that restarts has forgotten whom it voted
+for, and abstains for as long as the longest lease may last.
 """
 
 from typing import NamedTuple
@@ -10,50 +10,58 @@
 from oakfork.leases.durations import LeaseDurations
 from oakfork.leases.messages import Ask, Grant, Refusal, Release, VoteFreed
 
-NOBODY = -1
+NO_GATEWAY = -1  # in place of a gateway's number
 
 
 class Vote(NamedTuple):
-    abstains: int  # until then
-    highest: int  # term known of; grows
-    gateway: int = NOBODY  # who has the vote
-    life: int = 0
-    term: int = 0
-    until: int = 0  # the vote is given until then
-    waiting: int = NOBODY  # who was refused last, for a hint
+    """A voter's state for one task. Times are on the voter's clock."""
+
+    abstains_until: int
+    highest_term: int  # that the voter knows of; never decreases
+    gateway: int = NO_GATEWAY  # that has the vote
+    life: int = 0  # of that gateway
+    term: int = 0  # for which it has the vote
+    expires: int = 0  # when the vote is free again without a release
+    last_refused: int = NO_GATEWAY  # the gateway that gets a hint when the vote is released
 
 
 def initial_vote(now: int, durations: LeaseDurations, floor: int) -> Vote:
-    """A voter that knows nothing. `floor` is a number that is likely above all terms so far (docs/leases.md)."""
-    return Vote(now + durations.stretched(durations.longest), floor)
+    """The state of a voter that has just started. `floor` is likely above all terms so far (docs/leases.md)."""
+    return Vote(now + durations.upper_bound(durations.longest), floor)
 
 
-def on_ask(vote: Vote, now: int, ask: Ask, durations: LeaseDurations, me: int) -> tuple[Vote, Grant | Refusal]:
-    """The answer to a contender, which goes to it alone."""
-    same = (ask.gateway, ask.life) == (vote.gateway, vote.life) and ask.term >= vote.term
+def on_ask(vote: Vote, now: int, ask: Ask, durations: LeaseDurations, voter: int) -> tuple[Vote, Grant | Refusal]:
+    """Answers a contender; the reply goes to that contender alone. `voter` is this gateway's number."""
+    has_vote = (ask.gateway, ask.life) == (vote.gateway, vote.life) and ask.term >= vote.term
     wait = 0
-    if now < vote.abstains:
-        wait = vote.abstains - now
-    elif not same and vote.gateway != NOBODY and now < vote.until:
-        wait = vote.until - now
-        vote = vote._replace(waiting=ask.gateway)
-    elif ask.length <= durations.longest and (same or ask.term > vote.highest):
-        until = now + durations.stretched(ask.length)
+    if now < vote.abstains_until:
+        wait = vote.abstains_until - now
+    elif not has_vote and vote.gateway != NO_GATEWAY and now < vote.expires:
+        wait = vote.expires - now
+        vote = vote._replace(last_refused=ask.gateway)
+    elif ask.length <= durations.longest and (has_vote or ask.term > vote.highest_term):
+        expires = now + durations.upper_bound(ask.length)
         vote = vote._replace(
             gateway=ask.gateway,
             life=ask.life,
             term=ask.term,
-            highest=ask.term,
-            until=max(until, vote.until) if same else until,
-            waiting=NOBODY if vote.waiting == ask.gateway else vote.waiting,
+            highest_term=ask.term,
+            expires=max(expires, vote.expires) if has_vote else expires,
+            last_refused=NO_GATEWAY if vote.last_refused == ask.gateway else vote.last_refused,
         )
-        return vote, Grant(ask.task, me, ask.life, ask.term, ask.round)
-    return vote, Refusal(ask.task, me, ask.life, ask.round, vote.highest, wait)
+        return vote, Grant(ask.task, voter, ask.life, ask.term, ask.round)
+    return vote, Refusal(ask.task, voter, ask.life, ask.round, vote.highest_term, wait)
+
 
+def on_release(vote: Vote, now: int, release: Release, voter: int) -> tuple[Vote, tuple[int, VoteFreed] | None]:
+    """Frees the vote if that contender has it in that term.
 
-def on_release(vote: Vote, now: int, release: Release, me: int) -> tuple[Vote, tuple[int, VoteFreed] | None]:
-    """Frees the vote if it is that contender's in that term; a hint for who was refused last, if anybody was."""
-    if (release.gateway, release.life, release.term) != (vote.gateway, vote.life, vote.term) or now < vote.abstains:
+    Returns the new state, and the hint with the gateway it goes to: the one that was refused last, if there is one.
+    """
+    has_vote = (release.gateway, release.life, release.term) == (vote.gateway, vote.life, vote.term)
+    if not has_vote or now < vote.abstains_until:
         return vote, None
-    hint = (vote.waiting, VoteFreed(release.task, me)) if vote.waiting not in (NOBODY, release.gateway) else None
-    return vote._replace(gateway=NOBODY, until=0, waiting=NOBODY), hint
+    hint = None
+    if vote.last_refused not in (NO_GATEWAY, release.gateway):
+        hint = vote.last_refused, VoteFreed(release.task, voter)
+    return vote._replace(gateway=NO_GATEWAY, expires=0, last_refused=NO_GATEWAY), hint
--- a/tests/test_drills.py
+++ b/tests/test_drills.py
@@ -170,10 +170,10 @@
         assert until(lambda: any(line["event"] == "serving" for line in lines()))
         (tmp_path / "book.toml").write_text(overbooked)
         process.send_signal(signal.SIGHUP)
-        assert until(lambda: any("the old one holds" in line["event"] for line in lines()))
+        assert until(lambda: any("the previous one stays in force" in line["event"] for line in lines()))
         (tmp_path / "book.toml").write_text(good.replace("legs_per_s = 250", "legs_per_s = 260"))
         process.send_signal(signal.SIGHUP)
-        assert until(lambda: any(line["event"] == "book read anew" for line in lines()))
+        assert until(lambda: any(line["event"] == "contracts file reloaded" for line in lines()))
         process.terminate()
         assert process.wait(10) == 0 and lines()[-1]["event"] == "left"
     finally:
