--- a/experiments/external_names.py
+++ b/experiments/external_names.py
@@ -19,7 +19,7 @@
 CLICK_DECORATORS = frozenset({"command", "group", "option", "argument"})
 # Classes whose fields are written out by name, with asdict, _asdict, msgspec's JSON encoder or a data file's reader.
 SERIALIZED_CLASSES = {
-    "oakfork/control/status.py": ["_Told"],
+    "oakfork/control/status.py": ["_StatusPosition"],
     "oakfork/lab/load_generator.py": ["Report"],
     "oakfork/lab/scale/control_costs.py": ["Planned"],
     "oakfork/lab/scale/hollow_gateways.py": ["One", "Config"],
--- a/oakfork/control/agent.py
+++ b/oakfork/control/agent.py
@@ -1,6 +1,4 @@
-"""The follower as a gateway runs it: its state, how old that is, and the servers' changes handed over as discovery
-would tell them. Over trio.
-"""
+"""Runs the follower in a gateway, and hands over changes of servers in the form of discovery. Over trio."""
 
 from collections import deque
 from itertools import islice
@@ -15,98 +13,108 @@
 from oakfork.control.messages import Kind, Position
 from oakfork.control.state import Records
 
-SLICE = 64  # records looked at, servers handed over at once
-MOST_WAITING = 16  # changes of state
+SLICE = 64  # records examined, and servers handed over, at once
+MAX_WAITING_CHANGES = 16  # states that came into force and are not handed over yet
 
 Rows = list[dict[str, Any]]
 
 
 class Agent:
-    """`in_force` is given at most SLICE servers at a time, of each one what is in force when it is given; it must not
-    wait. `service`: only that one's servers, a server that leaves it is "removed"."""
+    """Follows the control part and looks up records.
+
+    `in_force` is called with at most SLICE servers at a time, each as it is in force at that moment; it must not wait.
+    With `service`, only servers of that service are handed over, and one that leaves it is "removed".
+    """
 
     def __init__(
         self,
-        who: str,
+        name: str,
         relays: Sequence[str],
         seed: int,
         log: BoundLogger,
         in_force: Callable[[Rows], None] | None = None,
         service: str | None = None,
     ) -> None:
-        self.store, self.log, self.hand_over, self.service = Records(), log, in_force, service
-        self.machine = Follower(who, relays, self.store, seed=seed)
+        self.store = Records()
+        self.log = log
+        self.hand_over = in_force
+        self.service = service
+        self.machine = Follower(name, relays, self.store, seed=seed)
         self.engine = Engine(self.machine, log, in_force=self._in_force)
-        # What came into force and was not handed over: MOST_WAITING at most, then they coalesce; emptied by `run`.
+        # Changes in force that are not handed over yet; beyond MAX_WAITING_CHANGES they are merged.
         self.waiting: deque[events.Changes] = deque()
-        self.given: set[str] = set()  # servers handed over and not taken back
-        self.news = trio.Event()
+        self.handed_over: set[str] = set()  # servers handed over and not removed since
+        self.changes_waiting = trio.Event()
 
     @property
     def position(self) -> Position:
-        """Of the state in force."""
+        """The position of the state in force."""
         return self.machine.position
 
     def age(self) -> int | None:
-        """Milliseconds since what is in force here was what the publisher had; None before it was ever heard of."""
+        """Milliseconds since the state in force here was the publisher's; None before a publisher was heard of."""
         return self.machine.age(clock())
 
     @property
     def counts(self) -> dict[str, int]:
+        """The engine's counts, by reason."""
         return dict(self.engine.counts)
 
-    # Look-ups, of what is in force; those made without a wait between them are of one state
-
     def record(self, kind: Kind, name: str) -> Any:
-        """A record of records.TYPES; None where there is none, or none that can be read."""
+        """Looks up a record, of one of records.TYPES; None if there is none or it can't be decoded.
+
+        Look-ups without waiting in between see one state.
+        """
         value = self.store.value(kind, name)
         return None if value is None else records.unpack(kind, value)
 
     async def run(self) -> None:
-        """Until it is cancelled, or `leave` is called."""
+        """Runs until it is cancelled or `leave` is called."""
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._give)
+            nursery.start_soon(self._hand_over_changes)
             await self.engine.run()
             nursery.cancel_scope.cancel()
 
     async def leave(self) -> None:
-        """Says goodbye to its relay, within a bit over a second."""
+        """Says goodbye to the relay; takes a little over a second at most."""
         await self.engine.leave()
 
     def _in_force(self, command: events.InForce) -> None:
         if self.hand_over is None:
             return
-        if len(self.waiting) < MOST_WAITING:
+        if len(self.waiting) < MAX_WAITING_CHANGES:
             self.waiting.append(command.changes)
         else:
             self.waiting[-1] = {**self.waiting[-1], **command.changes}
-        self.news.set()
+        self.changes_waiting.set()
 
-    async def _give(self) -> None:
+    async def _hand_over_changes(self) -> None:
         while True:
-            await self.news.wait()
-            self.news = trio.Event()
+            await self.changes_waiting.wait()
+            self.changes_waiting = trio.Event()
             while self.waiting:
-                names = iter(self.waiting.popleft())
-                while keys := list(islice(names, SLICE)):
+                remaining_keys = iter(self.waiting.popleft())
+                while keys := list(islice(remaining_keys, SLICE)):
                     rows = [self._row(name) for kind, name in keys if kind is Kind.SERVER]
-                    if rows := [row for row in rows if row is not None]:
-                        self._hand(rows)
+                    known_rows = [row for row in rows if row is not None]
+                    if known_rows:
+                        self._hand_over_rows(known_rows)
                     await trio.lowlevel.checkpoint()
 
-    def _hand(self, rows: Rows) -> None:
+    def _hand_over_rows(self, rows: Rows) -> None:
         try:
             self.hand_over(rows)
-        except Exception:  # a fault there costs these rows, not what follows
-            self.engine.note("servers were not taken")
+        except Exception:  # an error there costs these rows, not later ones
+            self.engine.count_event("servers were not taken")
             self.log.exception("servers were not taken")
 
     def _row(self, name: str) -> dict[str, Any] | None:
+        """A server in the form of discovery; None if it is not to be handed over and never was."""
         server = self.record(Kind.SERVER, name)
         if server is None or self.service not in (None, server.service):
-            if name not in self.given:
-                return None  # nothing is known of it there
-            self.given.discard(name)
+            if name not in self.handed_over:
+                return None
+            self.handed_over.discard(name)
             return records.discovery_row(name, None)
-        self.given.add(name)
+        self.handed_over.add(name)
         return records.discovery_row(name, self.store.value(Kind.SERVER, name))
--- a/oakfork/control/change_schema.py
+++ b/oakfork/control/change_schema.py
@@ -1,48 +1,60 @@
-"""The change file, JSON: checked by a schema and against the state, each fault by its path; docs/control.md has its
-keys. A change set is refused whole, or becomes rows.
+"""Reads and validates change files: JSON, checked against a schema, each fault reported with its path.
+
+A valid change file becomes rows; an invalid one is refused as a whole. docs/control.md lists the keys. Contradictions
+with the state in force are found by state_index.py.
 """
 
 import json
 import zlib
 from collections import Counter
-from typing import Any, Mapping, Sequence
+from typing import Any, Iterator, Mapping, Sequence
 
 from oakfork.configuration_schema import against
 from oakfork.control import records
-from oakfork.control.messages import LARGEST_FRAME, LONGEST_NAME, Kind, Row
-from oakfork.control.state import Records
+from oakfork.control.messages import (
+    LARGEST_FRAME,
+    MAX_FAULTS,
+    MAX_NAME_BYTES,
+    MAX_VALUE_BYTES,
+    SUBMIT_OVERHEAD,
+    Kind,
+    Row,
+)
 from oakfork.errors import ChangeSetError
 
-LARGEST_CHANGE = 1 << 20  # bytes of the file
-LARGEST_SUBMITTED = LARGEST_FRAME - 1024  # of what is sent for it, by zlib
-MOST_CHANGES = 4096  # records put and dropped in one set
-MOST_FAULTS = 64  # told of one set
-LARGEST_VALUE = 4096  # bytes of a packed record
-DEEPEST = 16  # lists and tables in one another
-MOST_PARTS = 65_536  # values, lists and tables in all
-LONGEST_FAULT = 300  # characters
-NAMES = {Kind.SERVICE: "services", Kind.SERVER: "servers", Kind.ROUTE: "routes", Kind.TENANT: "tenants"}
-WHOLE = 1 << 53  # numbers of JSON are exact up to it
+MAX_FILE_BYTES = 1 << 20
+MAX_SUBMITTED_BYTES = LARGEST_FRAME - SUBMIT_OVERHEAD  # of the file as it is sent, compressed with zlib
+MAX_CHANGES = 4096  # records put and dropped in one change set
+MAX_NESTING = 16  # lists and objects inside one another
+MAX_JSON_VALUES = 65_536  # scalars, lists and objects in all
+MAX_FAULT_LENGTH = 300  # characters
+MAX_PORT = 65_535
+ZLIB_FIRST_BYTE = b"\x78"
+PLURALS = {Kind.SERVICE: "services", Kind.SERVER: "servers", Kind.ROUTE: "routes", Kind.TENANT: "tenants"}
+MAX_INTEGER = 1 << 53  # JSON numbers are exact up to here
+MAX_NUMBER = 1e12
 
 
-def _a(kind: str, text: str, **more: Any) -> dict[str, Any]:
+def _typed(kind: str, text: str, **more: Any) -> dict[str, Any]:
     return {"type": kind, "description": text} | more
 
 
 def _word(text: str, shortest: int = 1) -> dict[str, Any]:
-    return _a("string", text, minLength=shortest, maxLength=256, pattern="^[^\\u0000-\\u001f\\ud800-\\udfff]*(?!\\n)$")
+    return _typed(
+        "string", text, minLength=shortest, maxLength=256, pattern="^[^\\u0000-\\u001f\\ud800-\\udfff]*(?!\\n)$"
+    )
 
 
 def _name(text: str) -> dict[str, Any]:
-    return _a("string", text, pattern=f"^[!-~]{{1,{LONGEST_NAME}}}(?!\\n)$")
+    return _typed("string", text, pattern=f"^[!-~]{{1,{MAX_NAME_BYTES}}}(?!\\n)$")
 
 
-def _whole(text: str, low: int = 0, high: int = WHOLE) -> dict[str, Any]:
-    return _a("integer", text, minimum=low, maximum=high)
+def _integer(text: str, low: int = 0, high: int = MAX_INTEGER) -> dict[str, Any]:
+    return _typed("integer", text, minimum=low, maximum=high)
 
 
 def _number(text: str) -> dict[str, Any]:
-    return _a("number", text, minimum=0, maximum=1e12)
+    return _typed("number", text, minimum=0, maximum=MAX_NUMBER)
 
 
 def _table(text: str, properties: dict[str, Any], *required: str) -> dict[str, Any]:
@@ -73,7 +85,7 @@
 )
 SERVICE = _table(
     "a service",
-    {"name": _name("its name"), "methods": _a("array", "its methods", items=METHOD, minItems=1, maxItems=64)},
+    {"name": _name("its name"), "methods": _typed("array", "its methods", items=METHOD, minItems=1, maxItems=64)},
     "name",
     "methods",
 )
@@ -81,16 +93,16 @@
     "a server",
     {
         "id": _name("the same at every gateway"),
-        "addr": _a("string", "where it listens", maxLength=256, pattern=r"^[!-9;-~]+:[0-9]{1,5}(?!\n)$"),
+        "addr": _typed("string", "where it listens", maxLength=256, pattern=r"^[!-9;-~]+:[0-9]{1,5}(?!\n)$"),
         "zone": _word("its zone"),
         "kind": _word("its kind of machine", 0),
-        "cell": _whole("the group that drops a repeat"),
+        "cell": _integer("the group that drops a repeat"),
         "state": {
             "enum": [state.name.lower() for state in records.State],
             "description": "draining: nothing new goes to it",
         },
         "weight": _number("its registered size"),
-        "started_ms": _whole("when it last started, as Unix time in milliseconds; 0: long ago"),
+        "started_ms": _integer("when it last started, as Unix time in milliseconds; 0: long ago"),
         "service": _name("what it serves"),
     },
     "id",
@@ -125,8 +137,8 @@
         "plan": _word("its plan"),
         "rate": _number("units a second of its quota"),
         "burst": _number("units at once"),
-        "first": _whole("the first gateway that keeps its quota", high=65_535),
-        "spread": _whole("how many gateways keep it", low=1, high=65_535),
+        "first": _integer("the first gateway that keeps its quota", high=65_535),
+        "spread": _integer("how many gateways keep it", low=1, high=65_535),
     },
     "id",
     "plan",
@@ -138,152 +150,174 @@
 ITEMS = {Kind.SERVICE: SERVICE, Kind.SERVER: SERVER, Kind.ROUTE: ROUTE, Kind.TENANT: TENANT}
 
 
-def _all(text: str, items: Mapping[Kind, dict[str, Any]]) -> dict[str, Any]:
+def _by_kind(text: str, items: Mapping[Kind, dict[str, Any]]) -> dict[str, Any]:
     return _table(
         text,
-        {NAMES[kind]: _a("array", f"the {NAMES[kind]}", items=items[kind], maxItems=MOST_CHANGES) for kind in Kind},
+        {
+            PLURALS[kind]: _typed("array", f"the {PLURALS[kind]}", items=items[kind], maxItems=MAX_CHANGES)
+            for kind in Kind
+        },
     )
 
 
 SCHEMA = {"$schema": "https://json-schema.org/draft/2020-12/schema"} | _table(
     "a change set",
     {
-        "id": _a(
+        "id": _typed(
             "string",
             "names this change set, in the log as well; the same file again has no second effect",
             pattern="^[!-~]{1,100}(?!\\n)$",
         ),
-        "put": _all("records that are new, or take the place of those of the same name", ITEMS),
-        "drop": _all("names of records that go", {kind: _name("of one that is there") for kind in Kind}),
+        "put": _by_kind("records that are new, or take the place of those of the same name", ITEMS),
+        "drop": _by_kind("names of records that go", {kind: _name("of one that is there") for kind in Kind}),
     },
     "id",
 )
 
 
 def submitted(data: bytes) -> bytes:
-    """A change file as it goes to the publisher, by zlib where that is shorter; raises ChangeError where it is too long
-    all the same."""
-    if len(data) > LARGEST_CHANGE:
-        raise ChangeSetError([f"the file: over {LARGEST_CHANGE} bytes"])
+    """A change file in the form in which it is submitted: compressed with zlib if that is shorter.
+
+    Raises ChangeSetError if the file is over MAX_FILE_BYTES, or over MAX_SUBMITTED_BYTES in the shorter form.
+    """
+    if len(data) > MAX_FILE_BYTES:
+        raise ChangeSetError([f"the file: over {MAX_FILE_BYTES} bytes"])
     shorter = min(zlib.compress(data), data, key=len)
-    if len(shorter) > LARGEST_SUBMITTED:
-        raise ChangeSetError([f"the file: over {LARGEST_SUBMITTED} bytes by zlib"])
+    if len(shorter) > MAX_SUBMITTED_BYTES:
+        raise ChangeSetError([f"the file: over {MAX_SUBMITTED_BYTES} bytes after zlib compression"])
     return shorter
 
 
-def _plain(data: bytes) -> bytes | None:
-    """No JSON begins as what goes by zlib does. None where that is not whole, or too long."""
-    if data[:1] != b"\x78":
+def _decompressed(data: bytes) -> bytes | None:
+    """Decompresses what begins as zlib data does, which no JSON text does; None if it is malformed or too long."""
+    if data[:1] != ZLIB_FIRST_BYTE:
         return data
-    work = zlib.decompressobj()
+    decompressor = zlib.decompressobj()
     try:
-        plain = work.decompress(data, LARGEST_CHANGE + 1)
+        plain = decompressor.decompress(data, MAX_FILE_BYTES + 1)
     except zlib.error:
         return None
-    return plain if work.eof and not work.unused_data else None
+    return plain if decompressor.eof and not decompressor.unused_data else None
 
 
 def read(data: bytes) -> tuple[Any, list[str]]:
-    """What a change file says, also by zlib, and the faults that keep it from being read."""
-    if (data := _plain(data)) is None:
-        return None, [f"the file: not whole by zlib, or over {LARGEST_CHANGE} bytes"]
-    if len(data) > LARGEST_CHANGE:
-        return None, [f"the file: over {LARGEST_CHANGE} bytes"]
+    """The JSON value of a change file, compressed or not, and the faults that make it unreadable."""
+    plain = _decompressed(data)
+    if plain is None:
+        return None, [f"the file: malformed zlib data, or over {MAX_FILE_BYTES} bytes"]
+    if len(plain) > MAX_FILE_BYTES:
+        return None, [f"the file: over {MAX_FILE_BYTES} bytes"]
     try:
-        told = json.loads(data, object_pairs_hook=_once)
+        document = json.loads(plain, object_pairs_hook=_without_duplicates)
     except ChangeSetError as error:
-        return None, _bounded(error.faults)
+        return None, bounded(error.faults)
     except (ValueError, RecursionError) as error:
-        return None, _bounded([f"the file: {error}"])
-    if _parts(told, DEEPEST) > MOST_PARTS:
-        return None, [f"the file: over {MOST_PARTS} parts, or over {DEEPEST} in one another"]
-    return told, []
+        return None, bounded([f"the file: {error}"])
+    if _count_values(document, MAX_NESTING) > MAX_JSON_VALUES:
+        return None, [f"the file: over {MAX_JSON_VALUES} values, or nested over {MAX_NESTING} deep"]
+    return document, []
 
 
-def _once(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
-    """A key that stands there twice is a contradiction, not a choice."""
-    told = dict(pairs)
-    if len(told) < len(pairs):
-        twice = next(key for key, times in Counter(key for key, _ in pairs).items() if times > 1)
-        raise ChangeSetError([f"the file: {twice!r} stands twice in one table"])
-    return told
+def _without_duplicates(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
+    """An object from its pairs; a repeated key is a fault, since either value may be meant."""
+    document = dict(pairs)
+    if len(document) < len(pairs):
+        counts = Counter(key for key, _ in pairs)
+        duplicate = next(key for key, count in counts.items() if count > 1)
+        raise ChangeSetError([f"the file: duplicate key {duplicate!r} in one object"])
+    return document
 
 
-def _parts(told: Any, left: int) -> int:
-    """How many there are; more than MOST_PARTS where they lie too deep in one another."""
-    if not isinstance(told, dict | list):
+def _count_values(value: Any, depth_left: int) -> int:
+    """The number of values in a JSON value; more than MAX_JSON_VALUES if it is nested too deep."""
+    if not isinstance(value, dict | list):
         return 1
-    if left <= 0:
-        return MOST_PARTS + 1
-    return 1 + sum(_parts(part, left - 1) for part in (told.values() if isinstance(told, dict) else told))
+    if depth_left <= 0:
+        return MAX_JSON_VALUES + 1
+    children = value.values() if isinstance(value, dict) else value
+    return 1 + sum(_count_values(child, depth_left - 1) for child in children)
 
 
 def parse(data: bytes) -> tuple[list[Row], list[str]]:
-    """The rows of a change file: those put by kind in the file's order, then those dropped; or every fault by its path
-    (MOST_FAULTS of them at most), and no rows."""
-    told, faults = read(data)
-    if faults or (faults := against(SCHEMA, told)):
-        return [], _bounded(faults)
-    put, drop, rows = told.get("put", {}), told.get("drop", {}), []
-    count = sum(len(part) for parts in (put, drop) for part in parts.values())
-    if not 0 < count <= MOST_CHANGES:
-        return [], [f"the file: {count} records, 1 to {MOST_CHANGES} may change at once"]
-    for kind in Kind:
-        for number, item in enumerate(put.get(NAMES[kind], ())):
-            value = records.pack(_record(kind, item))
-            if len(value) > LARGEST_VALUE:
-                faults.append(f"put.{NAMES[kind]}[{number}]: over {LARGEST_VALUE} bytes")
-            if kind is Kind.SERVICE:
-                faults += _methods(f"put.services[{number}]", item["methods"])
-            elif kind is Kind.SERVER and int(item["addr"].rpartition(":")[2]) > 65_535:
-                faults.append(f"put.servers[{number}].addr: no such port")
-            rows.append(Row(kind, _key(item), value))
+    """The rows of a change file, or no rows and every fault by its path (MAX_FAULTS of them at most).
+
+    Rows that are put come first, by kind and in the file's order; dropped ones follow.
+    """
+    document, faults = read(data)
+    if not faults:
+        faults = against(SCHEMA, document)
+    if faults:
+        return [], bounded(faults)
+    put = document.get("put", {})
+    drop = document.get("drop", {})
+    count = sum(len(items) for section in (put, drop) for items in section.values())
+    if not 0 < count <= MAX_CHANGES:
+        return [], [f"the file: {count} records, but a change set has 1 to {MAX_CHANGES}"]
+    rows = []
+    for kind, number, item in _items(put):
+        value = records.pack(_record(kind, item))
+        faults += _item_faults(kind, f"put.{PLURALS[kind]}[{number}]", item, value)
+        rows.append(Row(kind, _key(item), value))
+    rows += [Row(kind, name, None) for kind, _, name in _items(drop)]
+    return ([], bounded(faults)) if faults else (rows, [])
+
+
+def _items(section: Mapping[str, Sequence[Any]]) -> Iterator[tuple[Kind, int, Any]]:
+    """The items of the "put" or "drop" section, with their kind and their index in its list."""
     for kind in Kind:
-        rows += [Row(kind, name, None) for name in drop.get(NAMES[kind], ())]
-    return ([], _bounded(faults)) if faults else (rows, [])
+        for number, item in enumerate(section.get(PLURALS[kind], ())):
+            yield kind, number, item
+
+
+def _item_faults(kind: Kind, path: str, item: Mapping[str, Any], value: bytes) -> list[str]:
+    """Faults of one record that the schema doesn't express."""
+    faults = []
+    if len(value) > MAX_VALUE_BYTES:
+        faults.append(f"{path}: {len(value)} bytes when packed, over {MAX_VALUE_BYTES}")
+    if kind is Kind.SERVICE:
+        faults += _method_faults(path, item["methods"])
+    elif kind is Kind.SERVER:
+        port = int(item["addr"].rpartition(":")[2])
+        if port > MAX_PORT:
+            faults.append(f"{path}.addr: port {port} is over {MAX_PORT}")
+    return faults
 
 
 def id_of(data: bytes) -> str | None:
-    """Of a change file that can be read."""
-    told, faults = read(data)
-    return told["id"] if not faults and isinstance(told, dict) and isinstance(told.get("id"), str) else None
+    """The id of a change file; None if it can't be read or has none."""
+    document, faults = read(data)
+    if faults or not isinstance(document, dict) or not isinstance(document.get("id"), str):
+        return None
+    return document["id"]
 
 
-def _bounded(faults: list[str]) -> list[str]:
-    """As many, and as long, as a Verdict holds, and such as can be written in UTF-8."""
-    if len(faults) > MOST_FAULTS:
-        faults = [*faults[: MOST_FAULTS - 1], f"and {len(faults) - MOST_FAULTS + 1} more"]
-    return [fault[:LONGEST_FAULT].encode(errors="backslashreplace").decode() for fault in faults]
+def bounded(faults: list[str]) -> list[str]:
+    """Cuts faults to the number and length that a SubmitResult holds, and makes them encodable as UTF-8."""
+    if len(faults) > MAX_FAULTS:
+        faults = [*faults[: MAX_FAULTS - 1], f"and {len(faults) - MAX_FAULTS + 1} more"]
+    return [fault[:MAX_FAULT_LENGTH].encode(errors="backslashreplace").decode() for fault in faults]
 
 
 def _key(item: Mapping[str, Any]) -> str:
     return item["id"] if "id" in item else item["name"]
 
 
-def _methods(path: str, methods: Sequence[Mapping[str, Any]]) -> list[str]:
-    found = [
-        f"{path}.methods[{number}].aim_ms: beyond the deadline"
+def _method_faults(path: str, methods: Sequence[Mapping[str, Any]]) -> list[str]:
+    faults = [
+        f"{path}.methods[{number}].aim_ms: {method['aim_ms']} is over the deadline, {method['deadline_ms']}"
         for number, method in enumerate(methods)
         if method["aim_ms"] > method["deadline_ms"]
     ]
-    names = Counter(method["name"] for method in methods)
-    return found + [f"{path}.methods: {name!r} stands there twice" for name, times in names.items() if times > 1]
+    counts = Counter(method["name"] for method in methods)
+    faults += [f"{path}.methods: duplicate method {name!r}" for name, count in counts.items() if count > 1]
+    return faults
 
 
 def _record(kind: Kind, item: Mapping[str, Any]) -> records.Record:
+    """The record of an item that the schema accepts."""
     number = records.parse_amount
     if kind is Kind.SERVICE:
-        return records.Service(
-            tuple(
-                records.Method(
-                    method["name"],
-                    number(method["aim_ms"]),
-                    number(method["deadline_ms"]),
-                    records.Effect[method.get("effect", "read_like").upper()],
-                )
-                for method in item["methods"]
-            )
-        )
+        return records.Service(tuple(_method(method) for method in item["methods"]))
     if kind is Kind.SERVER:
         return records.Server(
             records.pack_address(item["addr"]),
@@ -302,114 +336,10 @@
     )
 
 
-class StateIndex:
-    """What is looked up to find contradictions without going through the state: who names a service, whose an address
-    is and a route's match. Built once of a state and told of each change set in force; as large as the state."""
-
-    def __init__(self, store: Records) -> None:
-        self.store = store
-        self.known: dict[tuple[Kind, str], tuple[str, Any]] = {}  # a server's or route's service and place
-        self.users: Counter[str] = Counter()  # service -> servers and routes that name it
-        self.at: dict[tuple[Kind, Any], str] = {}  # place -> the server or route there
-        for kind in (Kind.SERVER, Kind.ROUTE):
-            for name in store.all_names(kind):
-                self._put(kind, name, store.value(kind, name) or b"")
-
-    def _put(self, kind: Kind, name: str, value: bytes) -> None:
-        if (record := records.unpack(kind, value)) is not None:
-            place = _place(record)
-            self.known[kind, name] = record.service, place
-            self.users[record.service] += 1
-            self.at[kind, place] = name
-
-    def in_force(self, changes: Mapping[tuple[Kind, str], bytes | None]) -> None:
-        touched = [key for key in changes if key[0] in (Kind.SERVER, Kind.ROUTE)]
-        for kind, name in touched:
-            if (was := self.known.pop((kind, name), None)) is not None:
-                service, place = was
-                self.users[service] -= 1
-                if self.users[service] <= 0:
-                    del self.users[service]
-                if self.at.get((kind, place)) == name:
-                    del self.at[kind, place]
-        for kind, name in touched:
-            if (value := changes[kind, name]) is not None:
-                self._put(kind, name, value)
-
-    def contradictions(self, rows: Sequence[Row]) -> list[str]:
-        """Of rows in the order of `parse`, with the state and with one another: each by its path in the change file."""
-        paths, found = _paths(rows), []
-        seen: dict[tuple[Kind, str], int] = {}
-        for number, row in enumerate(rows):
-            if (first := seen.setdefault((row.kind, row.name), number)) != number:
-                way = "put and dropped" if (rows[first].value is None) != (row.value is None) else "there twice"
-                found.append(f"{paths[number]}: {row.name!r} is {way} in this change set")
-            elif row.value is None and self.store.value(row.kind, row.name) is None:
-                found.append(f"{paths[number]}: there is no {row.name!r}")
-        return _bounded(found or self._services(rows, paths) + self._twice(rows, paths))
-
-    def _services(self, rows: Sequence[Row], paths: Sequence[str]) -> list[str]:
-        """Servers and routes of a service that would not exist, and services dropped that some would still name."""
-        found, users = [], Counter()
-        put = {row.name for row in rows if row.kind is Kind.SERVICE and row.value is not None}
-        dropped = {
-            row.name: path
-            for row, path in zip(rows, paths, strict=True)
-            if row.kind is Kind.SERVICE and row.value is None
-        }
-        for row, path in zip(rows, paths, strict=True):
-            if row.kind not in (Kind.SERVER, Kind.ROUTE):
-                continue
-            if (was := self.known.get((row.kind, row.name))) is not None:
-                users[was[0]] -= 1
-            if row.value is None:
-                continue
-            service = records.unpack(row.kind, row.value).service
-            users[service] += 1
-            if service not in put and (service in dropped or self.store.value(Kind.SERVICE, service) is None):
-                found.append(f"{path}.service: there would be no service {service!r}")
-        return found + [
-            f"{path}: {left} servers and routes would still name {service!r}"
-            for service, path in dropped.items()
-            if (left := self.users[service] + users[service]) > 0
-        ]
-
-    def _twice(self, rows: Sequence[Row], paths: Sequence[str]) -> list[str]:
-        """Two servers at one address, two routes of one host, prefix and method."""
-        found: list[str] = []
-        changed = {(row.kind, row.name) for row in rows}
-        mine: dict[tuple[Kind, Any], str] = {}
-        for row, path in zip(rows, paths, strict=True):
-            if row.kind not in (Kind.SERVER, Kind.ROUTE) or row.value is None:
-                continue
-            place = _place(records.unpack(row.kind, row.value))
-            other = self.at.get((row.kind, place))
-            if other is not None and (row.kind, other) in changed:
-                other = None  # it goes, or is put anew by this change set and then looked at itself
-            other = mine.setdefault((row.kind, place), row.name) if other is None else other
-            if other != row.name:
-                found.append(
-                    f"{path}.addr: {other!r} is there"
-                    if row.kind is Kind.SERVER
-                    else f"{path}: {other!r} has that host, prefix and method"
-                )
-        return found
-
-
-def _place(record: Any) -> Any:
-    return record.addr if isinstance(record, records.Server) else (record.host, record.prefix, record.method)
-
-
-def _paths(rows: Sequence[Row]) -> list[str]:
-    count: Counter[tuple[str, Kind]] = Counter()
-    paths = []
-    for row in rows:
-        way = "drop" if row.value is None else "put"
-        paths.append(f"{way}.{NAMES[row.kind]}[{count[way, row.kind]}]")
-        count[way, row.kind] += 1
-    return paths
-
-
-def contradictions(store: Records, rows: Sequence[Row], index: StateIndex | None = None) -> list[str]:
-    """As Index.contradictions; without an index one is built for this once, which goes through the whole state."""
-    return (index or StateIndex(store)).contradictions(rows)
+def _method(item: Mapping[str, Any]) -> records.Method:
+    return records.Method(
+        item["name"],
+        records.parse_amount(item["aim_ms"]),
+        records.parse_amount(item["deadline_ms"]),
+        records.Effect[item.get("effect", "read_like").upper()],
+    )
--- a/oakfork/control/cli.py
+++ b/oakfork/control/cli.py
@@ -1,6 +1,6 @@
-"""The command line of this package, `oakfork control`. Everything that it runs is imported where it is used.
+"""The command line of this package, `oakfork control`. Modules that a command runs are imported when it is called.
 
-Exit codes as in oakfork/cli.py: 0 done; 1 it went wrong while running; 2 the user's mistake.
+Exit codes are those of oakfork/cli.py: 0 success, 1 failure while running, 2 a mistake in the arguments or files.
 """
 
 import json
@@ -17,7 +17,8 @@
 if TYPE_CHECKING:
     from structlog.stdlib import BoundLogger
 
-PLACE = r"HOST:PORT"
+ADDRESS = "HOST:PORT"  # how usage messages show an address
+MAX_PORT = 65_535
 
 
 def _fail(text: str, status: int = EXIT_USAGE) -> None:
@@ -30,12 +31,13 @@
     _fail(error_lines(error, where), error.status)
 
 
-def _place(_: click.Context, __: click.Parameter, told: Any) -> Any:
-    for text in (told,) if isinstance(told, str) else told:
+def _check_address(_: click.Context, __: click.Parameter, value: Any) -> Any:
+    """Ends the command if an address, or one of several, is malformed."""
+    for text in (value,) if isinstance(value, str) else value:
         host, _, port = text.rpartition(":")
-        if not host or not port.isdecimal() or int(port) > 65_535:
+        if not host or not port.isdecimal() or int(port) > MAX_PORT:
             _fail(f"not an address, HOST:PORT: {text!r}")
-    return told
+    return value
 
 
 def _log(who: str) -> "BoundLogger":
@@ -56,7 +58,7 @@
 
 
 def _run(work: Coroutine[Any, Any, Any], where: str = "") -> Any:
-    """What comes of it, or the end of the process by one of our own errors."""
+    """Runs a coroutine and returns its result; ends the process with a message on one of our own errors."""
     import trio
 
     async def run() -> Any:
@@ -72,57 +74,57 @@
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
 def control() -> None:
-    """Changes of configuration on their way to every gateway (docs/control.md)."""
+    """Distribute configuration changes to every gateway (docs/control.md)."""
     if find_spec("msgspec") is None:
-        _fail("this needs more libraries (msgspec): pip install 'oakfork[fleet]'")
+        _fail("this command needs another library (msgspec): pip install 'oakfork[fleet]'")
 
 
 @control.command("publisher")
 @click.argument("file", type=click.Path(dir_okay=False))
 def publisher(file: str) -> None:
-    """Run the publisher that a file sets."""
+    """Run the publisher that a file configures."""
     from oakfork.control import config as files, processes
 
     try:
-        told = files.read_publisher(file)
+        settings = files.read_publisher(file)
     except ControlConfigError as error:
         _refuse(error, file)
-    _run(processes.publisher(told, _log(told.who)))
+    _run(processes.publisher(settings, _log(settings.full_name)))
 
 
 @control.command("relay")
 @click.argument("file", type=click.Path(dir_okay=False))
 def relay(file: str) -> None:
-    """Run the relay that a file sets."""
+    """Run the relay that a file configures."""
     from oakfork.control import config as files, processes
 
     try:
-        told = files.read_relay(file)
+        settings = files.read_relay(file)
     except ControlConfigError as error:
         _refuse(error, file)
-    _run(processes.relay(told, _log(told.who)))
+    _run(processes.relay(settings, _log(settings.full_name)))
 
 
 @control.command("follow")
-@click.argument("relays", nargs=-1, required=True, callback=_place)
-@click.option("--name", required=True, help="As status is to name it; no other has it.")
-@click.option("--seed", type=int, default=1, show_default=True, help="Of the chance in its pauses.")
+@click.argument("relays", nargs=-1, required=True, callback=_check_address)
+@click.option("--name", required=True, help="The name in the status; no other follower has it.")
+@click.option("--seed", type=int, default=1, show_default=True, help="Seed of the random part of its pauses.")
 def follow(relays: tuple[str, ...], name: str, seed: int) -> None:
     """Follow relays, HOST:PORT each, as a gateway does; print a line of JSON for what comes into force."""
     from oakfork.control import processes
 
-    _run(processes.follow(name, relays, seed, _log(name), lambda told: click.echo(json.dumps(told))))
+    _run(processes.follow(name, relays, seed, _log(name), lambda change: click.echo(json.dumps(change))))
 
 
 @control.command("publish")
 @click.argument("file", type=click.Path(dir_okay=False))
-@click.option("--to", "place", required=True, callback=_place, metavar=PLACE, help="The publisher.")
+@click.option("--to", "place", required=True, callback=_check_address, metavar=ADDRESS, help="The publisher.")
 @click.option(
     "--seconds",
     type=click.FloatRange(0.1, 3600),
     default=30.0,
     show_default=True,
-    help="How long to ask again where no answer comes.",
+    help="How long to retry while no answer comes.",
 )
 def publish(file: str, place: str, seconds: float) -> None:
     """Submit a change file: print the position at which it is in force, or each fault. Safe to repeat."""
@@ -130,39 +132,41 @@
 
     try:
         with open(file, "rb") as opened:
-            data = opened.read(change_schema.LARGEST_CHANGE + 1)
+            data = opened.read(change_schema.MAX_FILE_BYTES + 1)
     except OSError as error:
         _refuse(ChangeSetError([f"the file: {error}"]), file)
     id = change_schema.id_of(data)
     faults = change_schema.parse(data)[1] if id is None else []
     if faults:
         _refuse(ChangeSetError(faults), file)
-    verdict = _run(client.publish(place, id, data, seconds), file)
-    if verdict.position is None:
-        _refuse(ChangeSetError(list(verdict.faults) or ["refused"]), file)
-    click.echo(f"{file}: in force at the publisher, position {verdict.position.term}.{verdict.position.number}")
+    result = _run(client.publish(place, id, data, seconds), file)
+    if result.position is None:
+        _refuse(ChangeSetError(list(result.faults) or ["refused"]), file)
+    click.echo(f"{file}: in force at the publisher, position {result.position.term}.{result.position.number}")
 
 
 @control.command("status")
-@click.argument("place", callback=_place, metavar=PLACE)
+@click.argument("place", callback=_check_address, metavar=ADDRESS)
 @click.option("--json", "as_json", is_flag=True, help="The whole status as JSON.")
 @click.option(
     "--seconds",
     type=click.FloatRange(0.1, 3600),
     default=10.0,
     show_default=True,
-    help="How long to ask again where no answer comes.",
+    help="How long to retry while no answer comes.",
 )
 def status(place: str, as_json: bool, seconds: float) -> None:
     """Ask the publisher what is in force everywhere, who is behind and since when."""
     from oakfork.control import client, status_text
 
-    told = _run(client.status(place, seconds))
-    click.echo(json.dumps(told, sort_keys=True) if as_json else status_text.text(told))
+    document = _run(client.status(place, seconds))
+    click.echo(json.dumps(document, sort_keys=True) if as_json else status_text.text(document))
 
 
 @control.command("try")
-@click.option("--keep", type=click.Path(file_okay=False), help="A folder for files, database and logs, to look at.")
+@click.option(
+    "--keep", type=click.Path(file_okay=False), help="Keep the files, the database and the logs in this folder."
+)
 def try_all(keep: str | None) -> None:
     """Start a publisher, two relays and three followers on this machine, publish an example, show the status."""
     from oakfork.control import trial
--- a/oakfork/control/client.py
+++ b/oakfork/control/client.py
@@ -1,4 +1,4 @@
-"""What operators ask of a publisher: to take a change set, and how far those in force have come. Over trio."""
+"""Operators' requests to a publisher: submitting change sets and reading the status. Over trio."""
 
 import json
 from hashlib import blake2b
@@ -8,75 +8,79 @@
 
 from oakfork.control.change_schema import submitted
 from oakfork.control.connections import FrameConnection, connect
-from oakfork.control.messages import Ask, Goodbye, Message, Status, Submit, Verdict, pack, unpack_down
+from oakfork.control.messages import Goodbye, Message, Status, StatusRequest, Submit, SubmitResult, pack, unpack_down
 from oakfork.errors import ConnectionFailedError, PublisherTimeoutError
 from oakfork.sockets.outcomes import Outcome
 
 ANSWER_TIMEOUT = 10.0  # seconds for one answer
-DEFAULT_TIMEOUT = 30.0  # for all of them
-PAUSE, LONGEST_PAUSE = 0.25, 2.0  # between two askings, doubles
+DEFAULT_TIMEOUT = 30.0  # seconds for all tries
+MIN_PAUSE = 0.25  # seconds between two tries; doubles up to MAX_PAUSE
+MAX_PAUSE = 2.0
 
 Answer = TypeVar("Answer", bound=Message)
 
 
-async def exchange(place: str, asked: Message, kind: type[Answer]) -> Answer:
-    """One connection, one question, its answer; raises Break."""
-    found: list[Message] = []
+async def exchange(address: str, request: Message, answer_type: type[Answer]) -> Answer:
+    """Sends one request on a connection of its own and returns the answer; raises ConnectionFailedError."""
+    answers: list[Message | None] = []
 
-    async def take(body: bytes) -> None:
+    async def handle_body(body: bytes) -> None:
         message = unpack_down(body)
-        if isinstance(message, kind | Goodbye) or message is None:
-            found.append(message)
-            link.over("answered")
+        if isinstance(message, answer_type | Goodbye) or message is None:
+            answers.append(message)
+            connection.abort("answered")
 
-    link = FrameConnection(await connect(place), ANSWER_TIMEOUT)
-    link.say(pack(asked))
+    connection = FrameConnection(await connect(address), ANSWER_TIMEOUT)
+    connection.send(pack(request))
     with trio.move_on_after(ANSWER_TIMEOUT) as scope:
-        await link.run(take)
-    if found and isinstance(found[0], kind):
-        return found[0]
-    raise ConnectionFailedError(
-        Outcome.SILENT
-        if scope.cancelled_caught
-        else Outcome.MALFORMED
-        if found == [None]
-        else Outcome.TURNED_AWAY
-        if found
-        else Outcome.ENDED
-    )
-
-
-async def _patiently(place: str, asked: Message, kind: type[Answer], patience: float) -> Answer:
-    pause, last = PAUSE, "no answer"
-    with trio.move_on_after(patience):
+        await connection.run(handle_body)
+    if answers and isinstance(answers[0], answer_type):
+        return answers[0]
+    if scope.cancelled_caught:
+        raise ConnectionFailedError(Outcome.SILENT)
+    if answers == [None]:
+        raise ConnectionFailedError(Outcome.MALFORMED)
+    if answers:
+        raise ConnectionFailedError(Outcome.TURNED_AWAY)
+    raise ConnectionFailedError(Outcome.ENDED)
+
+
+async def _retry(address: str, request: Message, answer_type: type[Answer], timeout: float) -> Answer:
+    """Repeats a request until it is answered; raises PublisherTimeoutError after `timeout` seconds."""
+    pause = MIN_PAUSE
+    last_failure = "no answer"
+    with trio.move_on_after(timeout):
         while True:
             try:
-                return await exchange(place, asked, kind)
-            except ConnectionFailedError as end:
-                last = end.outcome.name
+                return await exchange(address, request, answer_type)
+            except ConnectionFailedError as error:
+                last_failure = error.outcome.name
             await trio.sleep(pause)
-            pause = min(2 * pause, LONGEST_PAUSE)
-    raise PublisherTimeoutError(f"{place}: {last}")
+            pause = min(2 * pause, MAX_PAUSE)
+    raise PublisherTimeoutError(f"{address}: {last_failure}")
 
 
-async def publish(place: str, id: str, change: bytes, patience: float = DEFAULT_TIMEOUT) -> Verdict:
-    """Submits a change set until there is a verdict on it; the same one has no second effect. Raises
-    PublisherTimeoutError where there is none after `patience` seconds, ChangeError where it is too long."""
-    return await _patiently(place, Submit(submitted_id(id, change), submitted(change)), Verdict, patience)
+async def publish(address: str, id: str, change: bytes, timeout: float = DEFAULT_TIMEOUT) -> SubmitResult:
+    """Submits a change set until there is a result; submitting it again has no second effect.
+
+    Raises PublisherTimeoutError if there is none after `timeout` seconds, ChangeSetError if the file is too long.
+    """
+    return await _retry(address, Submit(submitted_id(id, change), submitted(change)), SubmitResult, timeout)
 
 
 def submitted_id(id: str, change: bytes) -> str:
-    """With the digest of the file: one that was edited under an old id is another change set, not an old answer."""
+    """The id with a digest of the file: a file edited under the same id is another change set, and must not get the
+    answer to the earlier one."""
     return f"{id}#{blake2b(change, digest_size=8).hexdigest()}"
 
 
-async def status(place: str, patience: float = ANSWER_TIMEOUT) -> dict[str, Any]:
-    """The publisher's status, as docs/control.md has it. Raises PublisherTimeoutError."""
-    told = await _patiently(place, Ask(), Status, patience)
+async def status(address: str, timeout: float = ANSWER_TIMEOUT) -> dict[str, Any]:
+    """The status of a publisher or relay, as described in docs/control.md. Raises PublisherTimeoutError."""
+    answer = await _retry(address, StatusRequest(), Status, timeout)
     try:
-        found = json.loads(told.told)
+        document = json.loads(answer.document)
     except (ValueError, RecursionError):
-        raise PublisherTimeoutError(f"{place}: told something that is no status") from None
-    if not isinstance(found, dict):
-        raise PublisherTimeoutError(f"{place}: told something that is no status")
-    return found
+        raise PublisherTimeoutError(f"{address}: the status is not JSON") from None
+    if not isinstance(document, dict):
+        raise PublisherTimeoutError(f"{address}: the status is not a JSON object")
+    return document
--- a/oakfork/control/config.py
+++ b/oakfork/control/config.py
@@ -1,5 +1,6 @@
-"""The TOML files of a publisher and of a relay: read, checked by a schema, each fault by its path. docs/control.md has
-all keys.
+"""Reads the TOML configuration files of a publisher and of a relay.
+
+Files are checked against a JSON Schema; each fault is reported with its path. docs/control.md lists all keys.
 """
 
 from dataclasses import dataclass
@@ -7,16 +8,17 @@
 from typing import Any
 
 from oakfork.configuration_schema import ADDRESS, against, read_toml
-from oakfork.control.database import MOST_IDS, MOST_LOG
-from oakfork.control.follower_server import EGRESS, LINKS
+from oakfork.control.database import MAX_IDS, MAX_LOG_SETS
+from oakfork.control.follower_server import EGRESS, MAX_LINKS
 from oakfork.errors import ControlConfigError
 from oakfork.sockets.configuration import Address, parse_address
 
-LARGEST_FILE = 64 * 1024
+MAX_FILE_BYTES = 64 * 1024
+MAX_PORT = 65_535
 NAME = {"type": "string", "pattern": "^[a-z0-9][a-z0-9-]{0,47}(?!\n)$"}
 
 
-def _whole(low: int, high: int, text: str, default: int) -> dict[str, Any]:
+def _integer(low: int, high: int, text: str, default: int) -> dict[str, Any]:
     return {"type": "integer", "minimum": low, "maximum": high, "description": text, "default": default}
 
 
@@ -39,10 +41,10 @@
     limits = _table(
         "what it may use",
         {
-            "egress_bytes_per_s": _whole(
+            "egress_bytes_per_s": _integer(
                 1024, 1 << 30, "sent to all below it where state is made up for; the rest waits", EGRESS
             ),
-            "connections": _whole(8, 65_536, "at once; one more is closed at once", LINKS),
+            "connections": _integer(8, 65_536, "at once; one more is closed at once", MAX_LINKS),
         }
         | bounds,
     )
@@ -67,13 +69,13 @@
             "uniqueItems": True,
             "description": "where other publishers may be: the one of the older term steps back",
         },
-        "above_term": _whole(
+        "above_term": _integer(
             0, 1 << 40, "it begins above this term; after an older copy of the database was brought back", 0
         ),
     },
     {
-        "log_sets": _whole(1, 65_536, "change sets kept one by one; older ones are folded", MOST_LOG),
-        "ids": _whole(64, 1 << 24, "of change sets, by which one that is sent again is known", MOST_IDS),
+        "log_sets": _integer(1, 65_536, "change sets kept one by one; older ones are folded", MAX_LOG_SETS),
+        "ids": _integer(64, 1 << 24, "of change sets, by which one that is sent again is known", MAX_IDS),
     },
     "database",
 )
@@ -95,7 +97,9 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PublisherFile:
+class PublisherConfig:
+    """A publisher's configuration; `egress` in bytes per second, `log_sets` and `ids` in change sets."""
+
     name: str
     region: str
     listen: Address
@@ -108,12 +112,15 @@
     others: tuple[str, ...] = ()
 
     @property
-    def who(self) -> str:
+    def full_name(self) -> str:
+        """The name in the status and the log: the region and the name."""
         return f"{self.region}/{self.name}"
 
 
 @dataclass(frozen=True, slots=True)
-class RelayFile:
+class RelayConfig:
+    """A relay's configuration; `egress` in bytes per second."""
+
     name: str
     region: str
     listen: Address
@@ -122,52 +129,62 @@
     connections: int
 
     @property
-    def who(self) -> str:
+    def full_name(self) -> str:
+        """The name in the status and the log: the region and the name."""
         return f"{self.region}/{self.name}"
 
 
-def read_publisher(path: str | Path) -> PublisherFile:
-    """Reads and checks; raises ControlError with every fault by its path."""
-    told = _checked(PUBLISHER, path)
-    bounds = told.get("bounds", {})
-    return PublisherFile(
-        told["name"],
-        told["region"],
-        parse_address(told["listen"]),
-        told["database"],
+def read_publisher(path: str | Path) -> PublisherConfig:
+    """Reads a publisher's file; raises ControlConfigError with every fault by its path."""
+    document = _checked(PUBLISHER, path)
+    bounds = document.get("bounds", {})
+    return PublisherConfig(
+        document["name"],
+        document["region"],
+        parse_address(document["listen"]),
+        document["database"],
         bounds.get("egress_bytes_per_s", EGRESS),
-        bounds.get("connections", LINKS),
-        bounds.get("log_sets", MOST_LOG),
-        bounds.get("ids", MOST_IDS),
-        told.get("above_term", 0),
-        tuple(told.get("others", ())),
+        bounds.get("connections", MAX_LINKS),
+        bounds.get("log_sets", MAX_LOG_SETS),
+        bounds.get("ids", MAX_IDS),
+        document.get("above_term", 0),
+        tuple(document.get("others", ())),
     )
 
 
-def read_relay(path: str | Path) -> RelayFile:
-    """Reads and checks; raises ControlError with every fault by its path."""
-    told = _checked(RELAY, path)
-    bounds = told.get("bounds", {})
-    return RelayFile(
-        told["name"],
-        told["region"],
-        parse_address(told["listen"]),
-        tuple(told["upstreams"]),
+def read_relay(path: str | Path) -> RelayConfig:
+    """Reads a relay's file; raises ControlConfigError with every fault by its path."""
+    document = _checked(RELAY, path)
+    bounds = document.get("bounds", {})
+    return RelayConfig(
+        document["name"],
+        document["region"],
+        parse_address(document["listen"]),
+        tuple(document["upstreams"]),
         bounds.get("egress_bytes_per_s", EGRESS),
-        bounds.get("connections", LINKS),
+        bounds.get("connections", MAX_LINKS),
     )
 
 
 def _checked(schema: dict[str, Any], path: str | Path) -> dict[str, Any]:
-    told = read_toml(path, LARGEST_FILE, ControlConfigError)[0]
-    faults = against(schema, told)
-    if not faults:
-        places = {"listen": told["listen"]} | {
-            f"{key}[{number}]": text for key in ("upstreams", "others") for number, text in enumerate(told.get(key, ()))
-        }
-        faults = [f"{place}: no such port" for place, text in places.items() if int(text.rpartition(":")[2]) > 65_535]
-        if told["listen"] in told.get("upstreams", ()):
-            faults.append("upstreams: it would follow itself")
+    document = read_toml(path, MAX_FILE_BYTES, ControlConfigError)[0]
+    faults = against(schema, document) or _address_faults(document)
     if faults:
         raise ControlConfigError(faults)
-    return told
+    return document
+
+
+def _address_faults(document: dict[str, Any]) -> list[str]:
+    """Faults that the schema doesn't express: ports out of range, and a relay that follows itself."""
+    addresses = {"listen": document["listen"]}
+    for key in ("upstreams", "others"):
+        for number, address in enumerate(document.get(key, ())):
+            addresses[f"{key}[{number}]"] = address
+    faults = [
+        f"{path}: port {port} is over {MAX_PORT}"
+        for path, address in addresses.items()
+        if (port := int(address.rpartition(":")[2])) > MAX_PORT
+    ]
+    if document["listen"] in document.get("upstreams", ()):
+        faults.append(f"upstreams: the relay would follow itself at {document['listen']}")
+    return faults
--- a/oakfork/control/events.py
+++ b/oakfork/control/events.py
@@ -1,12 +1,12 @@
-"""What the machines of this package are told (events) and what they want done (commands). Types only.
+"""Events that the state machines of this package receive, and commands that they return. Types only.
 
-A machine has `handle(now, event) -> list[Command]`, `now` in whole milliseconds of a steady clock. It does no I/O. Who
-drives it (runner.py; a simulated network in the tests) does the commands in their order and brings their outcomes back
+A machine has `handle(now, event) -> list[Command]`, with `now` in whole milliseconds of a steady clock. It does no I/O.
+Its driver (engine.py, or a simulated network in the tests) executes the commands in order and reports their outcomes
 as events.
 
-Links are numbered: those that a machine opens are below 0 and numbered by the machine (`Connect`), those that come in
-are above 0 and numbered by who drives it. No number is used twice in a machine's life. Frames of links above 0 are
-read with `unpack_up`, of links below 0 with `unpack_down`.
+Links are connections identified by number. The machine numbers those that it opens (`Connect`) with negative numbers;
+the driver numbers incoming ones with positive numbers. No number is used twice in a machine's lifetime. Frames of
+incoming links are decoded with `unpack_up`, frames of links that the machine opened with `unpack_down`.
 """
 
 from typing import Mapping, NamedTuple
@@ -14,120 +14,131 @@
 from oakfork.control.messages import Kind, Message, Position, Row
 
 Key = tuple[Kind, str]
-Changes = Mapping[Key, bytes | None]  # the value of each record afterwards; None: gone
+Changes = Mapping[Key, bytes | None]  # the new value of each changed record; None: the record is removed
 
-UNKNOWN = (1 << 62) - 1  # as Beat.age: the sender has never heard of the publisher
+AGE_UNKNOWN = (1 << 62) - 1  # as Heartbeat.age: the sender has never heard of the publisher
 
 
 # Events
 
 
 class Connected(NamedTuple):
-    """The link is there: one that was asked for, or one that came in."""
+    """A link is established, either a requested one or an incoming one."""
 
     link: int
 
 
-class Lost(NamedTuple):
-    """The link has ended, or could not be made. Not told of links that the machine closed itself."""
+class Disconnected(NamedTuple):
+    """A link has ended or could not be established. Not reported for links that the machine itself closed."""
 
     link: int
 
 
-class Heard(NamedTuple):
-    """A frame; None: one that was not whole, not ours, of the other direction, or too long."""
+class FrameReceived(NamedTuple):
+    """A frame arrived; `message` is None if it is malformed, too long or of the other direction."""
 
     link: int
     message: Message | None
 
 
-class TimeCame(NamedTuple):
-    """The time of the last `Wake`. Sooner or twice does no harm."""
+class TimerFired(NamedTuple):
+    """The time of the last `SetTimer` has come. Early and repeated events do no harm."""
 
 
 class Step(NamedTuple):
-    """After a `More`, when others have had a turn."""
+    """Follows a `ScheduleStep` after other tasks have run."""
 
 
 class Stored(NamedTuple):
-    """The publisher's store has committed what `Keep` of that number said: a crash from here on doesn't lose it."""
+    """The `StoreChangeSet` with that position number is committed: a crash from here on doesn't lose it."""
 
     number: int
 
 
-class NotStored(NamedTuple):
-    """The store could not, and holds nothing of it (rolled back)."""
+class StoreFailed(NamedTuple):
+    """The `StoreChangeSet` with that position number failed and was rolled back completely."""
 
     number: int
     reason: str
 
 
-class Unkept(NamedTuple):
-    """What `Keep` of that number had committed is not in the store any more: a restart doesn't bring it back."""
+class Reverted(NamedTuple):
+    """The change set with that position number is durably removed: a restart doesn't bring it back."""
 
     number: int
 
 
-class NotUnkept(NamedTuple):
-    """The store could not: it may be there, and in force after a restart."""
+class RevertFailed(NamedTuple):
+    """Removing a stored change set failed: it may still be stored, and in force after a restart."""
 
     number: int
     reason: str
 
 
-class Left(NamedTuple):
-    """The process is about to end: says goodbye and opens nothing more."""
+class ShuttingDown(NamedTuple):
+    """The process is about to end: the machine says goodbye and opens no more links."""
 
 
-Event = Connected | Lost | Heard | TimeCame | Step | Stored | NotStored | Unkept | NotUnkept | Left
+Event = (
+    Connected
+    | Disconnected
+    | FrameReceived
+    | TimerFired
+    | Step
+    | Stored
+    | StoreFailed
+    | Reverted
+    | RevertFailed
+    | ShuttingDown
+)
 
 
 # Commands
 
 
 class Connect(NamedTuple):
-    """Open a link; answered by `Connected` or `Lost`."""
+    """Open a link to HOST:PORT; answered by `Connected` or `Disconnected`."""
 
-    place: str
+    address: str
     link: int
 
 
 class Close(NamedTuple):
-    """After what has been said on it. No event of this link is told from here on; one that is has no effect."""
+    """Close a link after sending what is queued on it. Later events of this link have no effect."""
 
     link: int
     reason: str
 
 
-class Say(NamedTuple):
-    """Send a frame: a body; its length is the connection's to add."""
+class SendFrame(NamedTuple):
+    """Send a frame. `frame` is its body; the connection adds the length."""
 
     link: int
     frame: bytes
 
 
-class Wake(NamedTuple):
-    """`TimeCame` at that time (as `now`), in place of any told before."""
+class SetTimer(NamedTuple):
+    """Deliver `TimerFired` at that time (on the clock of `now`), replacing any earlier timer."""
 
     at: int
 
 
-class More(NamedTuple):
-    """There is work left: one `Step`, when others have had a turn. Said once until that `Step` comes."""
+class ScheduleStep(NamedTuple):
+    """Work is left: deliver one `Step` after other tasks have run. Not repeated until that `Step` comes."""
 
 
 class InForce(NamedTuple):
-    """The state of `position` is in force: from `before` (which may be of another lineage) exactly these records
-    changed."""
+    """The state of `position` is in force: exactly these records differ from the state at `before`, which may belong to
+    another lineage."""
 
     before: Position
     position: Position
     changes: Changes
 
 
-class Keep(NamedTuple):
-    """Commit durably, all or nothing: a change set's id, its rows, and the digest of the state with them, which gets
-    that position. Then `Stored(position.number)`, or `NotStored`. One is out at a time."""
+class StoreChangeSet(NamedTuple):
+    """Commit a change set durably, all or nothing: its id, its rows and the digest of the resulting state, at
+    `position`. Answered by `Stored` or `StoreFailed` with the position's number. One is outstanding at a time."""
 
     position: Position
     id: str
@@ -135,17 +146,19 @@
     digest: int
 
 
-class Unkeep(NamedTuple):
-    """Take back, durably, what was kept last at that position. Then `Unkept(position.number)`, or `NotUnkept`."""
+class RevertChangeSet(NamedTuple):
+    """Durably remove the change set stored last, at that position. Answered by `Reverted` or `RevertFailed`."""
 
     position: Position
 
 
-class Note(NamedTuple):
-    """To be counted by its reason (a fixed set of words) and logged, with what it was about."""
+class CountEvent(NamedTuple):
+    """Count an occurrence by its reason (one of a fixed set) and log it with what it concerns."""
 
     reason: str
     about: str = ""
 
 
-Command = Connect | Close | Say | Wake | More | InForce | Keep | Unkeep | Note
+Command = (
+    Connect | Close | SendFrame | SetTimer | ScheduleStep | InForce | StoreChangeSet | RevertChangeSet | CountEvent
+)
--- a/oakfork/control/follower.py
+++ b/oakfork/control/follower.py
@@ -1,375 +1,391 @@
-"""Follows a publisher or relay, one at a time, and brings what it says in force here. Pure: events in, commands out.
+"""Follows a publisher or relay, one at a time, and puts in force here what it sends. No I/O: events in, commands out.
 
-What is in force changes whole positions at a time, never backward in (term, number), and only where the digest of the
-outcome is the one told. While no one can be followed, the state stays as it is, and `age` says how old it is.
+The state in force changes only from one complete position to another, never to a lower (term, number), and only if the
+digest of the result is the one announced. While no relay can be followed, the state stays as it is, and `age` tells how
+old it is.
 
-It says one thing at a time and waits for the answer (`Hello`, `Ack`, `Want`), so at most one frame of the state is on
-its way to it; work on it is sliced (`More`, `Step`). Begin by a `TimeCame`.
+The follower sends one request at a time and waits for the answer (`Hello`, `Ack`, `RangeRequest`), so at most one frame
+of the state is under way to it. Work on frames is sliced (`ScheduleStep`, `Step`). Start it with a `TimerFired`.
 """
 
 from enum import Enum
 from typing import Generator, Sequence
 
-from oakfork.control.events import (
-    UNKNOWN,
-    Close,
-    Command,
-    Connect,
-    Connected,
-    Event,
-    Heard,
-    InForce,
-    Left,
-    Lost,
-    More,
-    Note,
-    Say,
-    Step,
-    TimeCame,
-    Wake,
-)
+from oakfork.control import events
+from oakfork.control.freshness import Freshness
 from oakfork.control.messages import (
-    BEAT,
     EMPTY,
-    RANGES,
+    HEARTBEAT_INTERVAL,
     VERSION,
     Ack,
-    Beat,
     Delta,
     Digests,
     Goodbye,
+    Heartbeat,
     Hello,
     Message,
     Position,
     Range,
-    Want,
+    RangeRequest,
     Welcome,
     pack,
 )
+from oakfork.control.relay_selection import STALE_AGE, RelaySelection
 from oakfork.control.staging import SLICE, Staged
 from oakfork.control.state import Store, total_digest
+from oakfork.control.transfer import Transfer
 
-# Milliseconds
-CONNECTING = 5_000  # for a connection to come about; two lost packets of its opening
-SILENCE = 3 * BEAT  # without a word, and the connection is given up
-STUCK = 10_000  # the sender has another position, and nothing comes of it: five beats told so
-MENDING = 600_000  # as STUCK, while ranges are awaited: those who ask wait for their turn
-STALE, STALEST = 10_000, 60_000  # the sender hasn't heard of the publisher: another is tried, then seldomer
-PAUSE, LONGEST_PAUSE = 250, 4_000  # after all relays were tried in vain; doubles
-HOME, LONGEST_HOME = 60_000, 960_000  # at another relay than the first, then that is tried; doubles while in vain
-FAILURES = 2  # in a row at one relay where the digest differs
+# Durations in milliseconds
+CONNECT_TIMEOUT = 5_000  # covers two lost packets of the TCP handshake
+SILENCE_TIMEOUT = 3 * HEARTBEAT_INTERVAL  # without any frame
+PROGRESS_TIMEOUT = 10_000  # at another position than upstream and nothing received; five heartbeats announce it
+RANGE_TIMEOUT = 600_000  # the same while ranges are awaited: followers wait for their turn
+MAX_DIGEST_FAILURES = 2  # in a row at one relay
 
 
 class Phase(Enum):
-    PAUSING = "pausing"  # until `since`
-    CONNECTING = "connecting"  # since `since`
-    GREETING = "greeting"  # Hello is said, Welcome awaited
+    """The phase of the connection; the values appear in a relay's status."""
+
+    PAUSING = "pausing"  # until `phase_at`
+    CONNECTING = "connecting"  # since `phase_at`
+    GREETING = "greeting"  # Hello is sent, Welcome awaited
     FOLLOWING = "following"
     LEFT = "left"
 
 
 class Follower:
-    """`relays` are places to connect to, the first one first; at least one. `relay`: it serves others. `store` holds
-    the state of `position`, and no one else commits to it. `seed`: of the chance in its pauses."""
+    """Follows one of `relays`, at least one HOST:PORT; the first one is preferred.
+
+    `relay`: whether this process serves followers itself. `store` holds the state of `position`, and no one else
+    commits to it. `seed` determines the random part of its pauses. Times are in milliseconds of the clock of `handle`.
+    """
 
     def __init__(
         self,
-        who: str,
+        name: str,
         relays: Sequence[str],
         store: Store,
         position: Position = EMPTY,
         seed: int = 1,
         relay: bool = False,
     ) -> None:
-        self.who, self.relays, self.store, self.position, self.relay = who, relays, store, position, relay
-        self.chance = seed & ((1 << 64) - 1)
-        self.now, self.commands = 0, []
-        self.phase, self.since = Phase.PAUSING, 0
-        self.link, self.place = 0, 0  # the number of the last link (0: none yet); which of the relays
-        self.turns = 0  # relays left in a row with nothing gained
-        self.heard_at = self.greeted_at = self.progress_at = self.moved_at = 0  # moved: to another position
-        self.told, self.told_at = position, None  # what the sender has, and when the publisher was heard of there
-        self.way: tuple[str, ...] = ()  # whom it follows, and whom that one follows, and so on; of the last Beat
-        self.publisher_at: int | None = None  # what is in force here was the publisher's then, or is younger
-        self.stale_wait, self.stale_at = STALE, 0
-        self.home_wait, self.home_at, self.homing = HOME, 0, False  # homing: the first one was left for, nothing heard
-        self.failures, self.mistrust = 0, False
-        self._clear()
-        self.folding, self.asked, self.wake = True, False, None
-
-    def _clear(self) -> None:
-        """Throws away what is staged."""
-        self.staged: Staged | None = None
-        self.base: Position | None = None  # while mending: what Digests were of
-        self.wanted: set[int] = set()  # ranges that haven't come whole yet
-        self.coming: tuple | None = None  # the positions and digest of a Delta that goes on
-        self.job: Generator[None, None, None] | None = None  # the work on the frame in hand
+        self.name = name
+        self.selection = RelaySelection(relays, seed)
+        self.store = store
+        self.position = position
+        self.relay = relay
+        self.now = 0
+        self.commands: list[events.Command] = []
+        self.phase = Phase.PAUSING
+        self.phase_at = 0
+        self.link = 0  # the number of the last link; 0: none yet
+        self.last_frame_at = 0
+        self.welcomed_at = 0
+        self.progress_at = 0
+        self.position_changed_at = 0
+        self.freshness = Freshness(position)
+        self.path: tuple[str, ...] = ()  # of the last heartbeat: the upstream, whom that follows, and so on
+        self.digest_failures = 0
+        self.distrusts_digest = False
+        self._discard_transfer()
+        self.compacting = True
+        self.step_scheduled = False
+        self.timer: int | None = None
+
+    def _discard_transfer(self) -> None:
+        self.transfer = Transfer()
+        self.work: Generator[None, None, None] | None = None  # on the last frame
 
     def age(self, now: int) -> int | None:
-        """Milliseconds since what is in force here was what the publisher had, for all that is known; None where
-        nothing was ever heard of one."""
-        return None if self.publisher_at is None else max(0, now - self.publisher_at)
+        """As Freshness.age."""
+        return self.freshness.age(now)
 
     @property
     def digest(self) -> int:
+        """The digest of the state in force."""
         return total_digest(self.store.sums)
 
     @property
     def following(self) -> bool:
+        """Whether a relay has welcomed this follower."""
         return self.phase is Phase.FOLLOWING
 
-    def handle(self, now: int, event: Event) -> list[Command]:
-        self.now, self.commands = now, []
+    def handle(self, now: int, event: events.Event) -> list[events.Command]:
+        """Handles an event of its link, a timer, a step or the shutdown; ignores events of other links."""
+        self._begin(now)
         if self.phase is Phase.LEFT:
             return self.commands
-        if isinstance(event, TimeCame):
-            self.wake = None
+        if isinstance(event, events.TimerFired):
+            self.timer = None
         match event:
-            case Step():
-                self.asked = False
-                self._work()
-            case Connected(link) if link == self.link and self.phase is Phase.CONNECTING:
-                self.phase, self.heard_at = Phase.GREETING, now
-                self._say(Hello(VERSION, self.who, self.relay, self.position, self._told_digest()))
-            case Lost(link) if link == self.link and self.phase is not Phase.PAUSING:
-                self._turn("lost", closed=True)
-            case Heard(link, message) if link == self.link and self.phase in (Phase.GREETING, Phase.FOLLOWING):
-                self.heard_at = now
-                self._heard(message)
-            case Left():
+            case events.Step():
+                self.step_scheduled = False
+                self._do_work()
+            case events.Connected(link) if link == self.link and self.phase is Phase.CONNECTING:
+                self.phase = Phase.GREETING
+                self.last_frame_at = now
+                self._send(Hello(VERSION, self.name, self.relay, self.position, self._reported_digest()))
+            case events.Disconnected(link) if link == self.link and self.phase is not Phase.PAUSING:
+                self._switch_relay("lost", closed=True)
+            case events.FrameReceived(link, message) if link == self.link and self._is_welcome_or_later():
+                self.last_frame_at = now
+                self._received(message)
+            case events.ShuttingDown():
                 if self.phase is not Phase.PAUSING:
-                    self.commands.append(Close(self.link, "left"))
-                self._clear()
+                    self.commands.append(events.Close(self.link, "left"))
+                self._discard_transfer()
                 self.phase = Phase.LEFT
                 return self.commands
         return self._finished()
 
-    def turn(self, now: int, reason: str) -> list[Command]:
-        """Leaves whom it follows for the next."""
-        self.now, self.commands = now, []
-        if self.phase in (Phase.GREETING, Phase.FOLLOWING):
-            self._turn(reason)
+    def _begin(self, now: int) -> None:
+        self.now = now
+        self.commands = []
+
+    def _is_welcome_or_later(self) -> bool:
+        return self.phase in (Phase.GREETING, Phase.FOLLOWING)
+
+    def switch_relay(self, now: int, reason: str) -> list[events.Command]:
+        """Leaves the relay followed for the next one."""
+        self._begin(now)
+        if self._is_welcome_or_later():
+            self._switch_relay(reason)
         return self._finished()
 
-    def say(self, message: Message) -> Say:
-        """For a relay's reports: on the link in hand."""
-        return Say(self.link, pack(message))
+    def send(self, message: Message) -> events.SendFrame:
+        """A command that sends a message upstream, for a relay's reports and history requests."""
+        return events.SendFrame(self.link, pack(message))
 
-    def _finished(self) -> list[Command]:
-        while (due := self._due())[0] <= self.now:
+    def _finished(self) -> list[events.Command]:
+        """Does what is due, and requests the next timer and step."""
+        due_at, reason = self._due()
+        while due_at <= self.now:
             if self.phase is Phase.PAUSING:
                 self._connect()
             else:
-                self._turn(due[1])
-        if due[0] != self.wake:
-            self.wake = due[0]
-            self.commands.append(Wake(self.wake))
-        if (self.folding or self.job is not None) and not self.asked:
-            self.asked = True
-            self.commands.append(More())
+                self._switch_relay(reason)
+            due_at, reason = self._due()
+        if due_at != self.timer:
+            self.timer = due_at
+            self.commands.append(events.SetTimer(due_at))
+        if (self.compacting or self.work is not None) and not self.step_scheduled:
+            self.step_scheduled = True
+            self.commands.append(events.ScheduleStep())
         return self.commands
 
     def _due(self) -> tuple[int, str]:
-        """When the patience with what is going on ends, and what to call that."""
+        """When the current phase times out, and the reason for switching relays then."""
         if self.phase is Phase.PAUSING:
-            return self.since, ""
+            return self.phase_at, ""
         if self.phase is Phase.CONNECTING:
-            return self.since + CONNECTING, "no connection"
-        due = [(self.heard_at + SILENCE, "silent")]
+            return self.phase_at + CONNECT_TIMEOUT, "no connection"
+        timeouts = [(self.last_frame_at + SILENCE_TIMEOUT, "silent")]
         if self.phase is Phase.FOLLOWING:
-            if self.staged is not None or self.told != self.position:
-                due.append((self.progress_at + (MENDING if self.base is not None else STUCK), "no progress"))
-            if self.staged is None and self.place:
-                due.append((self.home_at, "home"))
-            if self.staged is None and len(self.relays) > 1:
-                # Guards against turning from a relay that goes on: in a burst no one is up to date for a while.
-                stale = self.greeted_at if self.publisher_at is None else max(self.publisher_at, self.moved_at) + STALE
-                due.append((max(stale, self.stale_at), "stale"))
-        return min(due)
+            timeouts += self._following_timeouts()
+        return min(timeouts)
+
+    def _following_timeouts(self) -> list[tuple[int, str]]:
+        timeouts = []
+        if self.transfer.staged is not None or self.freshness.upstream_position != self.position:
+            timeout = RANGE_TIMEOUT if self.transfer.base is not None else PROGRESS_TIMEOUT
+            timeouts.append((self.progress_at + timeout, "no progress"))
+        if self.transfer.staged is None and self.selection.index:
+            timeouts.append((self.selection.preferred_at, "home"))
+        if self.transfer.staged is None and len(self.selection.relays) > 1:
+            # Progress counts as well, to avoid leaving a relay that keeps sending: in a burst no one is up to date for
+            # a while.
+            stale_at = self.welcomed_at
+            if self.freshness.fresh_at is not None:
+                stale_at = max(self.freshness.fresh_at, self.position_changed_at) + STALE_AGE
+            timeouts.append((max(stale_at, self.selection.stale_at), "stale"))
+        return timeouts
+
+    # Connections
 
     def _connect(self) -> None:
         self.link -= 1
-        self.phase, self.since = Phase.CONNECTING, self.now
-        self.commands.append(Connect(self.relays[self.place], self.link))
+        self.phase = Phase.CONNECTING
+        self.phase_at = self.now
+        self.commands.append(events.Connect(self.selection.current, self.link))
 
-    def _turn(self, reason: str, about: str = "", closed: bool = False) -> None:
-        """The next relay, at once; after all of them, with a pause."""
+    def _switch_relay(self, reason: str, about: str = "", closed: bool = False) -> None:
+        """Leaves the current relay for another one, see RelaySelection.switch."""
         if not closed:
-            self.commands.append(Close(self.link, reason))
-        self.commands.append(Note(reason, about or self.relays[self.place]))
-        if reason == "stale":
-            self.stale_wait = min(2 * self.stale_wait, STALEST)
-        self._clear()
-        self.failures, self.way = 0, ()
-        self.turns += 1
-        self.place, self.homing = (self.place + 1) % len(self.relays), False
-        if reason == "home":
-            # Guards against detours that stay: after all relays were restarted in turn most gateways would follow the
-            # few that came back last, and relays one another in a chain though the publisher is there again.
-            self.place, self.homing, self.home_wait = 0, True, min(2 * self.home_wait, LONGEST_HOME)
-        rounds, rest = divmod(self.turns, len(self.relays))
-        self.phase, self.since = Phase.PAUSING, self.now
-        if not rest:
-            pause = min(PAUSE << min(rounds - 1, 16), LONGEST_PAUSE)
-            self.since += pause // 2 + self._random(pause // 2)
-
-    def _random(self, below: int) -> int:
-        self.chance = (self.chance * 6364136223846793005 + 1442695040888963407) & ((1 << 64) - 1)
-        return (self.chance >> 33) % below
-
-    def _say(self, message: Message) -> None:
-        self.commands.append(self.say(message))
-
-    def _told_digest(self) -> int:
-        """After a failure one that can't be right: so the sender tells its own, range by range."""
-        return self.digest ^ self.mistrust
+            self.commands.append(events.Close(self.link, reason))
+        self.commands.append(events.CountEvent(reason, about or self.selection.current))
+        self._discard_transfer()
+        self.digest_failures = 0
+        self.path = ()
+        self.phase = Phase.PAUSING
+        self.phase_at = self.selection.switch(self.now, reason)
+
+    def _send(self, message: Message) -> None:
+        self.commands.append(self.send(message))
+
+    def _reported_digest(self) -> int:
+        """The digest of the state; after a failure a wrong one, so that the upstream sends its own, range by range."""
+        return self.digest ^ self.distrusts_digest
 
     def _ack(self) -> None:
-        self._say(Ack(self.position, self._told_digest()))
+        self._send(Ack(self.position, self._reported_digest()))
+
+    # Messages
 
-    def _heard(self, message: Message | None) -> None:
+    def _received(self, message: Message | None) -> None:
         match message:
             case Welcome() if self.phase is Phase.GREETING:
-                self._welcome(message)
+                self._welcomed(message)
             case Goodbye(reason):
-                self._turn("goodbye", reason)
+                self._switch_relay("goodbye", reason)
             case None:
-                self._turn("malformed")
+                self._switch_relay("malformed")
             case _ if self.phase is Phase.GREETING:
-                self._turn("out of turn")
-            case Beat(position, age, way):
-                self.told, self.told_at, self.way = position, None if age == UNKNOWN else self.now - age, way
-                homing, self.homing = self.homing, False
-                if homing and age > 2 * BEAT:
-                    return self._turn("home is behind")  # so that no time is lost there
-                if self.who in way:
-                    # Guards against relays that follow one another round: whatever is new comes to none of them, and
-                    # what they tell of its age takes STALE to show it.
-                    return self._turn("circle")
-                self._fresh()
-            case Delta() | Digests() | Range() if self.job is None:
-                {Delta: self._delta, Digests: self._digests, Range: self._range}[type(message)](message)
-            case _:  # also what comes while there is work on the frame before: it wasn't asked for
-                self._turn("out of turn")
-
-    def _welcome(self, told: Welcome) -> None:
-        if told.version != VERSION:
-            return self._turn("version")
-        if self._older(told.position):
-            return self._turn("older term")
-        self.phase, self.told, self.told_at = Phase.FOLLOWING, told.position, None
-        self.greeted_at = self.progress_at = self.now
-        # Between one and two waits, so that those who lost the publisher at once don't turn at once
-        self.stale_at = self.now + self.stale_wait + self._random(self.stale_wait)
-        self.home_at = self.now + self.home_wait + self._random(self.home_wait)
-
-    def _older(self, position: Position) -> bool:
-        """One that has nothing yet, of no term, is only waited for."""
+                self._switch_relay("out of turn")
+            case Heartbeat():
+                self._heartbeat(message)
+            case Delta() if self.work is None:
+                self._delta(message)
+            case Digests() if self.work is None:
+                self._digests(message)
+            case Range() if self.work is None:
+                self._range(message)
+            case _:  # includes frames that come during work on the previous one, which were not requested
+                self._switch_relay("out of turn")
+
+    def _welcomed(self, welcome: Welcome) -> None:
+        if welcome.version != VERSION:
+            self._switch_relay("version")
+            return
+        if self._is_older_term(welcome.position):
+            self._switch_relay("older term")
+            return
+        self.phase = Phase.FOLLOWING
+        self.freshness.welcomed(welcome.position)
+        self.welcomed_at = self.now
+        self.progress_at = self.now
+        self.selection.welcomed(self.now)
+
+    def _is_older_term(self, position: Position) -> bool:
+        """Whether a position is of an older term; an upstream with no state yet, of term 0, is waited for instead."""
         return 0 < position.term < self.position.term
 
-    def _fresh(self) -> None:
-        """What the sender has, and what is in force here, agree, or don't."""
-        if self._older(self.told):
-            return self._turn("older term")
-        if self.told_at is not None and self.told <= self.position:
-            known = self.told_at if self.publisher_at is None else self.publisher_at
-            self.publisher_at = max(known, self.told_at)
-            if self.now - self.publisher_at < STALE:
-                self.stale_wait = STALE
-        if self.told == self.position:
-            if self.staged is None:
+    def _heartbeat(self, heartbeat: Heartbeat) -> None:
+        self.freshness.heartbeat(self.now, heartbeat)
+        self.path = heartbeat.path
+        trying_preferred = self.selection.heartbeat()
+        if trying_preferred and heartbeat.age > 2 * HEARTBEAT_INTERVAL:
+            self._switch_relay("home is behind")  # at once, to lose no time there
+        elif self.name in heartbeat.path:
+            # Relays that follow one another in a cycle receive nothing new, and the age that they tell one another
+            # would reveal it only after STALE_AGE.
+            self._switch_relay("circle")
+        else:
+            self._update_freshness()
+
+    def _update_freshness(self) -> None:
+        """Compares the upstream's position with the one in force here, and updates `age` and the waits."""
+        freshness = self.freshness
+        if self._is_older_term(freshness.upstream_position):
+            self._switch_relay("older term")
+            return
+        if freshness.update(self.position) and self.now - freshness.fresh_at < STALE_AGE:
+            self.selection.fresh()
+        if freshness.upstream_position == self.position:
+            if self.transfer.staged is None:
                 self.progress_at = self.now
-            if self.now - self.greeted_at >= BEAT:
-                self.turns = 0
-                if not self.place:
-                    self.home_wait = HOME
-
-    def _delta(self, told: Delta) -> None:
-        """Believed only where it follows on what is here, or on the ranges that have come."""
-        after = self.position if self.base is None else self.base
-        forward = told.position > self.position or self.base is not None and told.position == self.position
-        head = (told.after, told.position, told.digest)
-        if (
-            told.after != after
-            or not forward
-            or told.position < after
-            or self.wanted
-            or (self.coming not in (None, head))
-        ):
-            return self.commands.append(Note("stale", f"delta after {told.after} to {told.position}"))
-        self.staged = self.staged or Staged(self.store)
-        self.coming, self.progress_at = head, self.now
-        self.job = self._take_delta(told)
-        self._work()
-
-    def _take_delta(self, told: Delta) -> Generator[None, None, None]:
-        staged = self.staged
-        if not (yield from staged.take(told.rows)):
-            return self._turn("too much")
-        if told.more:
-            return self._ack()
-        if not self._agrees(staged, told.digest):
-            return self._failed()
-        changes = yield from staged.difference()
-        self._commit(told.position, changes, staged)
-
-    def _agrees(self, staged: Staged, digest: int) -> bool:
+            if self.now - self.welcomed_at >= HEARTBEAT_INTERVAL:
+                self.selection.up_to_date()
+
+    # State
+
+    def _delta(self, delta: Delta) -> None:
+        """Stages a Delta that follows the state here, or the ranges received; any other one has no effect."""
+        if not self.transfer.accepts_delta(delta, self.position):
+            self.commands.append(events.CountEvent("stale", f"delta after {delta.after} to {delta.position}"))
+            return
+        self.transfer.begin_delta(self.store, delta)
+        self.progress_at = self.now
+        self.work = self._take_delta(delta)
+        self._do_work()
+
+    def _take_delta(self, delta: Delta) -> Generator[None, None, None]:
+        staged = self.transfer.staged
+        if not (yield from staged.take(delta.rows)):
+            self._switch_relay("too much")
+        elif delta.more:
+            self._ack()
+        elif not self._digest_matches(staged, delta.digest):
+            self._digest_differs()
+        else:
+            changes = yield from staged.difference()
+            self._commit(delta.position, changes, staged)
+
+    def _digest_matches(self, staged: Staged, digest: int) -> bool:
         return total_digest(staged.sums) == digest
 
-    def _failed(self) -> None:
-        """What was told doesn't lead to where it says: it, or what is in force here, is damaged."""
-        self.commands.append(Note("digest differs", self.relays[self.place]))
-        self._clear()
-        self.failures, self.mistrust = self.failures + 1, True
-        if self.failures >= FAILURES:
-            self._turn("digest differs")
+    def _digest_differs(self) -> None:
+        """The Delta doesn't lead to the announced state: either it or the state in force here is damaged."""
+        self.commands.append(events.CountEvent("digest differs", self.selection.current))
+        self._discard_transfer()
+        self.digest_failures += 1
+        self.distrusts_digest = True
+        if self.digest_failures >= MAX_DIGEST_FAILURES:
+            self._switch_relay("digest differs")
         else:
             self._ack()
 
     def _commit(self, position: Position, changes: dict, staged: Staged) -> None:
-        before, self.position = self.position, position
+        before = self.position
+        self.position = position
         self.store.commit(changes, staged.sums)
-        self._clear()
-        self.folding, self.mistrust, self.failures, self.turns = True, False, 0, 0
-        self.told, self.progress_at = max(self.told, position), self.now
+        self._discard_transfer()
+        self.compacting = True
+        self.distrusts_digest = False
+        self.digest_failures = 0
+        self.selection.progressed()
+        self.freshness.upstream_position = max(self.freshness.upstream_position, position)
+        self.progress_at = self.now
         if before != position:
-            self.moved_at = self.now
+            self.position_changed_at = self.now
         if changes or before != position:
-            self.commands.append(InForce(before, position, changes))
-        self._fresh()
+            self.commands.append(events.InForce(before, position, changes))
+        self._update_freshness()
         self._ack()
 
-    def _digests(self, told: Digests) -> None:
-        """Where the sender can't tell what lies between, or the digests differ: asks for what differs, also from what
-        has come so far."""
-        if told.position < self.position or self.coming is not None:
-            return self.commands.append(Note("stale", f"digests of {told.position}"))
-        self.staged = self.staged or Staged(self.store)
-        self.staged.coming = None
-        self.base, self.progress_at = told.position, self.now
-        self.wanted = {number for number in range(RANGES) if self.staged.sums[number] != told.sums[number]}
-        self._say(Want(tuple(sorted(self.wanted))))
-
-    def _range(self, told: Range) -> None:
-        if told.range not in self.wanted or self.staged.coming not in (None, told.range):
-            return self.commands.append(Note("stale", f"range {told.range}"))
+    def _digests(self, digests: Digests) -> None:
+        """The upstream doesn't know the changes between the positions, or the digests differ: requests the ranges that
+        differ from what is staged so far."""
+        if not self.transfer.accepts_digests(digests, self.position):
+            self.commands.append(events.CountEvent("stale", f"digests of {digests.position}"))
+            return
+        self.progress_at = self.now
+        self._send(RangeRequest(self.transfer.begin_ranges(self.store, digests)))
+
+    def _range(self, message: Range) -> None:
+        if not self.transfer.accepts_range(message):
+            self.commands.append(events.CountEvent("stale", f"range {message.range}"))
+            return
         self.progress_at = self.now
-        self.job = self._take_range(told)
-        self._work()
-
-    def _take_range(self, told: Range) -> Generator[None, None, None]:
-        if not (yield from self.staged.take_range(told.range, told.rows, told.more)):
-            return self._turn("malformed", f"range {told.range}")
-        if not told.more:
-            self.wanted.discard(told.range)
+        self.work = self._take_range(message)
+        self._do_work()
+
+    def _take_range(self, message: Range) -> Generator[None, None, None]:
+        staged = self.transfer.staged
+        if not (yield from staged.take_range(message.range, message.rows, message.more)):
+            self._switch_relay("malformed", f"range {message.range}")
+            return
+        self.transfer.range_received(message)
         self._ack()
 
-    def _work(self) -> None:
-        """One slice: of what was committed last, before all else; or of the frame in hand."""
-        if self.folding:
-            self.folding = self.store.compact(SLICE)
-        elif (job := self.job) is not None:
-            for _ in job:
-                return
-            if self.job is job:  # it may have been thrown away on the way
-                self.job = None
+    def _do_work(self) -> None:
+        """Does one slice of work: on the last commit first, then on the last frame."""
+        if self.compacting:
+            self.compacting = self.store.compact(SLICE)
+            return
+        work = self.work
+        if work is None:
+            return
+        for _ in work:
+            return
+        if self.work is work:  # it may have been discarded meanwhile
+            self.work = None
--- a/oakfork/control/follower_registry.py
+++ b/oakfork/control/follower_registry.py
@@ -1,6 +1,6 @@
-"""What is known of all who follow from here, at first hand and by the reports of relays: who has what in force. Pure.
+"""Tracks all followers downstream, directly connected ones and those that relays report, and their positions. No I/O.
 
-Nothing here is needed to serve anyone; it answers whether a position is in force everywhere, and who is behind.
+Serving followers doesn't depend on it; it answers whether a position is in force everywhere, and who is behind.
 """
 
 from bisect import bisect_right
@@ -8,179 +8,203 @@
 from heapq import nsmallest
 from typing import Iterator
 
-from oakfork.control.messages import EMPTY, Behind, Position, Report
+from oakfork.control.messages import EMPTY, MAX_REPORT_LAGGING, MAX_REPORT_NAMES, LaggingFollower, Position, Report
 
-MOST_NAMES = 16_384  # six times 2,700 gateways; beyond that the one gone for the longest goes, then none is taken in
-MOST_PATHS = 4  # links over which one name is reached: two while it moves, more only by what is wrong
-REPORTED = 1_024  # names of a report that came, and that went
-NAMED = 32  # of a report that are behind
-FORGOTTEN = 3_600_000  # milliseconds that one gone is remembered
-MOST_TIMES = 1_024  # positions whose time of coming is remembered, for how long one has been behind
+# Names tracked: six times 2,700 gateways. Beyond that the follower disconnected longest is dropped, then no new one is
+# tracked.
+MAX_NAMES = 16_384
+MAX_LINKS_PER_NAME = 4  # a name is reached over two links while it moves; more only if something is wrong
+REPORTED_NAMES = MAX_REPORT_NAMES  # connected, and disconnected, in one report
+REPORTED_LAGGING = MAX_REPORT_LAGGING  # in one report
+GONE_RETENTION = 3_600_000  # milliseconds that a disconnected follower is remembered
+MAX_POSITION_TIMES = 1_024  # positions whose time is kept, to know for how long a follower has been behind
 
 
 @dataclass(slots=True)
-class _Below:
-    """One link: who follows on it, and, where that is a relay, what it last reported."""
+class _Downstream:
+    """One link: who follows on it and, if that is a relay, its last report."""
 
-    who: str
+    name: str
     relay: bool
     position: Position
-    names: dict[str, None] = field(default_factory=dict)  # reached over it, itself also
-    told: Report | None = None  # the last one's lowest, behind, others_behind
-    told_at: int = 0
+    reached: dict[str, None] = field(default_factory=dict)  # names reached over this link, the follower's own included
+    report: Report | None = None  # only its lowest, behind and others_behind
+    reported_at: int = 0
 
 
 class FollowerRegistry:
+    """The followers downstream. Times are in milliseconds of the machine's clock."""
+
     def __init__(self) -> None:
-        self.links: dict[int, _Below] = {}  # emptied by `lost`
-        self.names: dict[str, list[int]] = {}  # connected -> over which links; the latest last
-        self.gone: dict[str, tuple[int, str]] = {}  # when, and whom it followed; the first gone first
-        self.news: dict[str, bool] = {}  # came or went since the last report; emptied by reporting
-        self.times: list[tuple[Position, int]] = []  # when it came in force here; the oldest go
-        self.left_out = 0  # names that there was no room for
-        self.changed = True  # something a report would tell
+        self.links: dict[int, _Downstream] = {}
+        self.names: dict[str, list[int]] = {}  # connected follower -> links that reach it, the latest last
+        self.gone: dict[str, tuple[int, str]] = {}  # since when, and whom it followed; in the order of leaving
+        self.unreported: dict[str, bool] = {}  # names connected (True) or disconnected since the last report
+        self.position_times: list[tuple[Position, int]] = []  # when each position came into force here, oldest first
+        self.left_out = 0  # times that a name was not tracked because of MAX_NAMES
+        self.changed = True  # whether there is something to report
 
-    # What happens
+    # Events
 
     def in_force(self, now: int, position: Position) -> None:
-        """Here, and so to be had by those below."""
+        """A position has come into force here and is available to followers."""
         self.changed = True
-        if self.times and position <= self.times[-1][0]:
-            return  # mended where it was
-        self.times.append((position, now))
-        del self.times[:-MOST_TIMES]
+        if self.position_times and position <= self.position_times[-1][0]:
+            return  # the state was repaired without a new position
+        self.position_times.append((position, now))
+        del self.position_times[:-MAX_POSITION_TIMES]
 
-    def came(self, now: int, link: int, who: str, relay: bool, position: Position) -> None:
+    def connected(self, now: int, link: int, name: str, relay: bool, position: Position) -> None:
+        """A follower has introduced itself on a link."""
         self.changed = True
-        self.links[link] = _Below(who, relay, position)
-        self._reached(now, link, who)
+        self.links[link] = _Downstream(name, relay, position)
+        self._add_path(now, link, name)
 
     def acked(self, link: int, position: Position) -> None:
+        """A follower has a position in force."""
         self.changed = True
         self.links[link].position = position
 
-    def lost(self, now: int, link: int) -> None:
-        """With all that was reached over it; none of them are gone that are reached otherwise."""
+    def disconnected(self, now: int, link: int) -> None:
+        """A link has ended; of the names reached over it, those that no other link reaches are gone."""
         self.changed = True
-        if (below := self.links.pop(link, None)) is not None:
-            for name in below.names:
-                self._not_reached(now, link, name, below.who)
+        downstream = self.links.pop(link, None)
+        if downstream is not None:
+            for name in downstream.reached:
+                self._remove_path(now, link, name, downstream.name)
 
-    def reported(self, now: int, link: int, told: Report) -> None:
+    def reported(self, now: int, link: int, report: Report) -> None:
+        """A relay has sent a report."""
         self.changed = True
-        below = self.links[link]
-        for name in told.went:
-            if name in below.names and name != below.who:
-                del below.names[name]
-                self._not_reached(now, link, name, below.who)
-        for name in told.came:
-            self._reached(now, link, name)
-        below.told, below.told_at = Report((), (), told.lowest, told.behind, told.others_behind), now
-
-    def _reached(self, now: int, link: int, name: str) -> None:
-        paths = self.names.get(name)
-        if paths is None:
-            self._forget(now, 1)
-            if len(self.names) >= MOST_NAMES:
+        relay = self.links[link]
+        for name in report.went:
+            if name in relay.reached and name != relay.name:
+                del relay.reached[name]
+                self._remove_path(now, link, name, relay.name)
+        for name in report.came:
+            self._add_path(now, link, name)
+        relay.report = Report((), (), report.lowest, report.behind, report.others_behind)
+        relay.reported_at = now
+
+    def _add_path(self, now: int, link: int, name: str) -> None:
+        links = self.names.get(name)
+        if links is None:
+            self._drop_gone(now, 1)
+            if len(self.names) >= MAX_NAMES:
                 self.left_out += 1
                 return
-            paths = self.names[name] = []
+            links = self.names[name] = []
             self.gone.pop(name, None)
-            self.news[name] = True
-        if link not in paths:
-            paths.append(link)
-            self.links[link].names[name] = None
-            if len(paths) > MOST_PATHS:
-                self.links[paths.pop(0)].names.pop(name, None)
-
-    def _not_reached(self, now: int, link: int, name: str, followed: str) -> None:
-        paths = self.names[name]
-        paths.remove(link)
-        if not paths:
+            self.unreported[name] = True
+        if link not in links:
+            links.append(link)
+            self.links[link].reached[name] = None
+            if len(links) > MAX_LINKS_PER_NAME:
+                self.links[links.pop(0)].reached.pop(name, None)
+
+    def _remove_path(self, now: int, link: int, name: str, followed: str) -> None:
+        links = self.names[name]
+        links.remove(link)
+        if not links:
             del self.names[name]
             self.gone[name] = (now, followed)
-            self.news[name] = False
-            self._forget(now, 0)
+            self.unreported[name] = False
+            self._drop_gone(now, 0)
 
-    def _forget(self, now: int, room: int) -> None:
-        """Those gone for too long, and more of them where there is no room for so many more names."""
+    def _drop_gone(self, now: int, new_names: int) -> None:
+        """Drops followers gone for GONE_RETENTION, and more of them if there is no room for so many new names."""
         while self.gone:
             name = next(iter(self.gone))
-            if now - self.gone[name][0] < FORGOTTEN and len(self.names) + len(self.gone) + room <= MOST_NAMES:
+            expired = now - self.gone[name][0] >= GONE_RETENTION
+            if not expired and len(self.names) + len(self.gone) + new_names <= MAX_NAMES:
                 return
             del self.gone[name]
-            self.news.pop(name, None)
-
-    # What is known
-
-    def everywhere(self, mine: Position) -> Position:
-        """The highest position that all connected have in force, `mine` being the one here; of a relay that hasn't
-        reported yet, none."""
-        lowest = mine
-        for below in self.links.values():
-            lowest = min(lowest, below.position)
-            if below.relay:
-                lowest = min(lowest, EMPTY if below.told is None else below.told.lowest)
+            self.unreported.pop(name, None)
+
+    # Queries
+
+    def everywhere(self, own_position: Position) -> Position:
+        """The highest position that this process, at `own_position`, and all connected followers have in force.
+
+        EMPTY while a connected relay hasn't reported yet.
+        """
+        lowest = own_position
+        for downstream in self.links.values():
+            lowest = min(lowest, downstream.position)
+            if downstream.relay:
+                lowest = min(lowest, EMPTY if downstream.report is None else downstream.report.lowest)
         return lowest
 
-    def since(self, now: int, position: Position) -> int:
-        """Milliseconds that something beyond a position has been in force here; 0 if nothing is."""
-        place = bisect_right(self.times, position, key=lambda each: each[0])
-        return now - self.times[place][1] if place < len(self.times) else 0
-
-    def behind(self, now: int, mine: Position, most: int = NAMED) -> tuple[list[Behind], int]:
-        """Those who don't have `mine` in force, the worst first, and how many there are besides."""
-        told, others = 0, 0
-
-        def each() -> Iterator[Behind]:
-            nonlocal told, others
-            for link, below in self.links.items():
-                for one in self._behind_over(now, mine, link, below):
-                    if self.names.get(one.who, (0,))[-1] == link:  # not where it was before
-                        told += 1
-                        yield one
-                if below.told is not None:
-                    others += below.told.others_behind if below.position >= mine else 0
-
-        worst = nsmallest(most, each(), key=lambda one: (one.position, -one.since, one.who))
-        return worst, told - len(worst) + others
-
-    def _behind_over(self, now: int, mine: Position, link: int, below: _Below) -> Iterator[Behind]:
-        since = self.since(now, below.position)
-        if below.position < mine:
-            yield Behind(below.who, below.position, since)
-        if not below.relay:
+    def time_behind(self, now: int, position: Position) -> int:
+        """Milliseconds since a position beyond the given one came into force here; 0 if none has."""
+        index = bisect_right(self.position_times, position, key=lambda each: each[0])
+        if index == len(self.position_times):
+            return 0
+        return now - self.position_times[index][1]
+
+    def behind(
+        self, now: int, own_position: Position, limit: int = REPORTED_LAGGING
+    ) -> tuple[list[LaggingFollower], int]:
+        """Up to `limit` followers that don't have `own_position` in force, furthest behind first, and how many more
+        there are."""
+        named = 0
+        others = 0
+
+        def lagging_followers() -> Iterator[LaggingFollower]:
+            nonlocal named, others
+            for link, downstream in self.links.items():
+                for follower in self._behind_over(now, own_position, link, downstream):
+                    if self.names.get(follower.name, (0,))[-1] == link:  # not a link that it was reached over before
+                        named += 1
+                        yield follower
+                if downstream.report is not None and downstream.position >= own_position:
+                    others += downstream.report.others_behind
+
+        furthest = nsmallest(
+            limit, lagging_followers(), key=lambda follower: (follower.position, -follower.behind_ms, follower.name)
+        )
+        return furthest, named - len(furthest) + others
+
+    def _behind_over(
+        self, now: int, own_position: Position, link: int, downstream: _Downstream
+    ) -> Iterator[LaggingFollower]:
+        """The followers reached over a link that are behind."""
+        behind_ms = self.time_behind(now, downstream.position)
+        if downstream.position < own_position:
+            yield LaggingFollower(downstream.name, downstream.position, behind_ms)
+        if not downstream.relay:
             return
-        named = {below.who}
-        if below.told is not None:
-            for one in below.told.behind:
-                if one.position < mine and one.who not in named:
-                    named.add(one.who)
-                    yield one._replace(since=one.since + now - below.told_at)
-        if below.position < mine:  # then no one below it can have more
-            position = below.position
-            if below.told is not None and below.told.others_behind:
-                position = min(position, below.told.lowest)
-            for name in below.names:
+        named = {downstream.name}
+        if downstream.report is not None:
+            for follower in downstream.report.behind:
+                if follower.position < own_position and follower.name not in named:
+                    named.add(follower.name)
+                    yield follower._replace(behind_ms=follower.behind_ms + now - downstream.reported_at)
+        if downstream.position < own_position:  # then no follower of the relay can be further ahead
+            position = downstream.position
+            if downstream.report is not None and downstream.report.others_behind:
+                position = min(position, downstream.report.lowest)
+            for name in downstream.reached:
                 if name not in named:
-                    yield Behind(name, position, since)
+                    yield LaggingFollower(name, position, behind_ms)
 
-    # What is told upward
+    # Reports
 
-    def afresh(self) -> None:
-        """For a new connection: who it reaches knows of no one here."""
-        self.news = {name: True for name in self.names}
+    def report_all(self) -> None:
+        """Makes the next reports complete, for a new connection whose peer has received none yet."""
+        self.unreported = {name: True for name in self.names}
         self.changed = True
 
-    def report(self, now: int, mine: Position) -> Report:
-        """What changed since the last one; if `changed` stays on, there is more of it."""
-        came, went = [], []
-        for name, here in self.news.items():
-            (came if here else went).append(name)
-            if max(len(came), len(went)) == REPORTED:
+    def report(self, now: int, own_position: Position) -> Report:
+        """The changes since the last report; `changed` stays True if names are left for another one."""
+        came = []
+        went = []
+        for name, connected in self.unreported.items():
+            (came if connected else went).append(name)
+            if max(len(came), len(went)) == REPORTED_NAMES:
                 break
         for name in came + went:
-            del self.news[name]
-        self.changed = bool(self.news)
-        worst, others = self.behind(now, mine)
-        return Report(tuple(came), tuple(went), self.everywhere(mine), tuple(worst), others)
+            del self.unreported[name]
+        self.changed = bool(self.unreported)
+        furthest, others = self.behind(now, own_position)
+        return Report(tuple(came), tuple(went), self.everywhere(own_position), tuple(furthest), others)
--- a/oakfork/control/follower_server.py
+++ b/oakfork/control/follower_server.py
@@ -1,410 +1,332 @@
-"""Serves those who follow from here: publishers and relays alike. Pure: events in, commands out.
+"""Serves followers, for publishers and relays alike. No I/O: events in, commands out.
 
-Each link takes its turn: who follows says what it has (`Hello`, `Ack`) or wants (`Want`), gets one frame, and speaks
-again. So a slow one has one frame outstanding and holds nobody back; what changes meanwhile comes to it merged. From a
-position in the history it gets a Delta; otherwise, and where its digest differs, the digests by range, the ranges that
-it asks for, and a Delta of what changed since. Ranges are paced: so many bytes a second over all links.
+Each link alternates between the two sides: the follower says what it has (`Hello`, `Ack`) or wants (`RangeRequest`),
+receives one frame, and answers it. A slow follower therefore has one frame outstanding and delays no one; changes in
+the meantime reach it merged. state_sender.py decides what is sent.
 """
 
-from collections import deque
 from typing import Callable
 
-from oakfork.control.encoded_frames import EncodedChange, EncodedRanges
 from oakfork.control.events import (
-    UNKNOWN,
+    AGE_UNKNOWN,
     Close,
     Command,
     Connected,
+    CountEvent,
+    Disconnected,
     Event,
-    Heard,
+    FrameReceived,
     InForce,
-    Left,
-    Lost,
-    More,
-    Note,
-    Say,
+    ScheduleStep,
+    SendFrame,
+    SetTimer,
+    ShuttingDown,
     Step,
-    TimeCame,
-    Wake,
+    TimerFired,
 )
 from oakfork.control.follower_registry import FollowerRegistry
 from oakfork.control.follower_session import FollowerSession, SessionState
-from oakfork.control.framing import framed
 from oakfork.control.history import History
 from oakfork.control.messages import (
-    BEAT,
-    EMPTY,
-    MOST_WAY,
+    HEARTBEAT_INTERVAL,
+    MAX_PATH_NAMES,
     VERSION,
     Ack,
-    Beat,
-    Digests,
     Goodbye,
+    Heartbeat,
     Hello,
+    HistoryReply,
+    HistoryRequest,
     Message,
-    Past,
     Position,
-    Recall,
+    RangeRequest,
     Report,
-    Want,
     Welcome,
     pack,
 )
-from oakfork.control.pacing import RangePacer
 from oakfork.control.state import Store, total_digest
+from oakfork.control.state_sender import StateSender
 
-LINKS = 4_096  # at once: all 2,700 gateways at one relay, and as many again that aren't noticed to be gone
-NAMELESS = 10_000  # milliseconds for a Hello
-SLOW = 30_000  # for the answer to a frame; one that stood still for 20 s keeps its place
-EGRESS = 4_000_000  # bytes a second of ranges, over all links; docs/control.md has what that comes to
-MENDS = 4  # links that get ranges by turns; the others wait, so that those who began also end
-RECALLING = 2 * BEAT  # milliseconds in which who waits for what is recalled gets no ranges
-DELTAS = 16  # of several frames each, half sent; and encoded ones for the position in force
+# Concurrent links: all 2,700 gateways at one relay, and about half as many again whose loss isn't noticed yet.
+MAX_LINKS = 4_096
+HELLO_TIMEOUT = 10_000  # milliseconds
+ANSWER_TIMEOUT = 30_000  # milliseconds for the answer to a frame; a process that was paused for 20 s keeps its link
+EGRESS = 4_000_000  # bytes per second of ranges over all links; docs/control.md has the resulting times
+MAX_RANGE_LINKS = 4  # links that are sent ranges in rotation; the others wait, so that those who began also finish
+HISTORY_TIMEOUT = 2 * HEARTBEAT_INTERVAL  # milliseconds that followers wait for requested history before getting ranges
 
 
-class FollowerServer:
-    """`store` holds the state of `position`, and is told of here by `in_force` when it goes on. `age`: how long the
-    publisher hasn't been heard of, None: never. `way`: whom this one follows, and so on. Who drives it tells only of
-    links that come in."""
+class FollowerServer(StateSender):
+    """Serves the state in `store`, at `position`; `in_force` must be called after each commit to the store.
+
+    `age` returns the milliseconds since the publisher was last heard of, None if never. `upstream_path` names the
+    process that this one follows, the one that that follows, and so on. The driver reports incoming links only.
+    """
 
     def __init__(
         self,
-        who: str,
+        name: str,
         store: Store,
         position: Position,
         age: Callable[[int], int | None],
         history: History | None = None,
         egress: int = EGRESS,
-        mends: int = MENDS,
-        most: int = LINKS,
-        way: Callable[[], tuple[str, ...]] = tuple,
+        max_range_links: int = MAX_RANGE_LINKS,
+        max_links: int = MAX_LINKS,
+        upstream_path: Callable[[], tuple[str, ...]] = tuple,
     ) -> None:
-        self.who, self.store, self.position, self.age, self.way = who, store, position, age, way
-        self.history = history or History(position, total_digest(store.sums))
-        self.most, self.pace = most, RangePacer(egress, mends)
-        self.registry, self.ranges = FollowerRegistry(), EncodedRanges(store)
-        self.links: dict[int, FollowerSession] = {}
-        self.deltas: dict[Position, EncodedChange] = {}  # by `after`; emptied with each position
-        self.held: set[int] = set()  # ids of those that are half sent somewhere, DELTAS at most
-        self.blocked: deque[int] = deque()  # links that wait for one of them to be sent
-        self.digests: bytes | None = None  # encoded, of the position
-        self.beat_at: int | None = None  # the next one; None: nobody is there
-        self.beaten_at, self.told_way = 0, ()  # of the last Beat to all
-        self.recalled_by = 0  # until then the history may come to reach further back
-        self.higher = 0  # the highest term above its own that was heard of
-        self.outdated = self.left = False  # serves no one any more; opens nothing more
-        self.now, self.commands, self.asked, self.wake = 0, [], False, None
-
-    # What happens
+        super().__init__(store, position, history, egress, max_range_links)
+        self.name = name
+        self.age = age
+        self.upstream_path = upstream_path
+        self.max_links = max_links
+        self.registry = FollowerRegistry()
+        self.heartbeat_at: int | None = None  # the next one; None while there are no links
+        self.last_heartbeat_at = 0
+        self.last_path: tuple[str, ...] = ()  # in the last heartbeat to all
+        self.higher_term = 0  # the highest term above its own that was heard of
+        self.outdated = False  # a publisher of a higher term is known: serves no followers any more
+        self.shutting_down = False  # accepts no more links
+        self.step_scheduled = False
+        self.timer: int | None = None
+
+    # Events
 
     def handle(self, now: int, event: Event) -> list[Command]:
-        self.now, self.commands = now, []
-        if isinstance(event, TimeCame):
-            self.wake = None
+        """Handles an event of an incoming link, a timer, a step or the shutdown."""
+        self._begin(now)
+        if isinstance(event, TimerFired):
+            self.timer = None
         match event:
             case Connected(link):
                 self._connected(link)
-            case Lost(link):
+            case Disconnected(link):
                 self._forget(link)
-            case Heard(link, message) if link in self.links:
-                self._heard(link, self.links[link], message)
+            case FrameReceived(link, message) if link in self.sessions:
+                self._received(link, self.sessions[link], message)
             case Step():
-                self.asked = False
+                self.step_scheduled = False
                 if not self.ranges.ready:
                     self.ranges.work()
-            case Left():
-                self.left = True
-                for number in list(self.links):
-                    self._end(number, "leaving", "leaving")
+            case ShuttingDown():
+                self.shutting_down = True
+                for link in list(self.sessions):
+                    self._end_link(link, "leaving", "leaving")
         return self._finished()
 
-    def in_force(self, now: int, told: InForce) -> list[Command]:
-        """The state has gone on (the store has it already)."""
-        self.now, self.commands = now, []
-        self.position = told.position
-        self.history.add(told.before, told.position, told.changes, total_digest(self.store.sums))
-        self.ranges.changed(told.changes)
-        self.registry.in_force(now, told.position)
-        self.digests = None
+    def in_force(self, now: int, change: InForce) -> list[Command]:
+        """A new position is in force; the store has it already."""
+        self._begin(now)
+        self.position = change.position
+        self.history.add(change.before, change.position, change.changes, total_digest(self.store.sums))
+        self.ranges.changed(change.changes)
+        self.registry.in_force(now, change.position)
+        self.encoded_digests = None
         self.deltas.clear()
-        self._serve_waiting()
+        self._serve_up_to_date()
         return self._finished()
 
     def outdate(self, now: int) -> list[Command]:
-        """A publisher of a higher term is known: those who follow are told to turn to others, those who come also."""
-        self.now, self.commands, self.outdated = now, [], True
-        for number, link in list(self.links.items()):
-            if link.who:
-                self._end(number, "older term", "older term")
+        """A publisher of a higher term is known: present and future followers are told to go elsewhere."""
+        self._begin(now)
+        self.outdated = True
+        for link, session in list(self.sessions.items()):
+            if session.name:
+                self._end_link(link, "older term", "older term")
         return self._finished()
 
-    def pass_on(self, now: int) -> list[Command]:
-        """A relay has heard a Beat: so have those below, at once and not when its own time comes, or what they know of
-        the age would grow with each relay between. At most every half of a beat, but for another way, by which relays
-        that follow one another round notice it; its own time is put off, for where none comes any more."""
-        self.now, self.commands = now, []
-        if self.beat_at is not None and (now >= self.beaten_at + BEAT // 2 or self.told_way != self._way()):
-            self.beat_at = now
-            self._beat()
-        if self.beat_at is not None:
-            self.beat_at = now + BEAT + BEAT // 2
+    def forward_heartbeat(self, now: int) -> list[Command]:
+        """Sends heartbeats because a relay has received one.
+
+        Waiting for its own interval instead would make the age known downstream grow with each relay in between.
+        Heartbeats are forwarded at most twice per interval unless the path has changed, by which relays that follow one
+        another in a cycle notice it. Its own next heartbeat is put off, for the case that no more are received.
+        """
+        self._begin(now)
+        if self.heartbeat_at is not None:
+            due = now >= self.last_heartbeat_at + HEARTBEAT_INTERVAL // 2
+            if due or self.last_path != self._path():
+                self.heartbeat_at = now
+                self._send_heartbeats()
+        if self.heartbeat_at is not None:
+            self.heartbeat_at = now + HEARTBEAT_INTERVAL + HEARTBEAT_INTERVAL // 2
         return self._finished()
 
-    def dismiss(self, now: int, number: int, reason: str) -> list[Command]:
-        """Ends a link, without a word."""
-        self.now, self.commands = now, []
-        if number in self.links:
-            self._end(number, reason)
+    def close_link(self, now: int, link: int, reason: str) -> list[Command]:
+        """Closes a link without a Goodbye."""
+        self._begin(now)
+        if link in self.sessions:
+            self._end_link(link, reason)
         return self._finished()
 
-    def awaited(self, now: int, number: int) -> None:
-        """On a link that isn't a follower's something goes on: its time counts from now."""
-        self.links[number].since = now
+    def restart_timeout(self, now: int, link: int) -> None:
+        """A link that is not a follower's (an operator's) is in use: its timeout starts again."""
+        self.sessions[link].state_since = now
 
-    def recalls(self, now: int) -> None:
-        """A relay asks for what led to its state: who is a little behind needs no ranges then, a hundred times that."""
-        self.recalled_by = now + RECALLING
+    def history_requested(self, now: int) -> None:
+        """A relay has requested the changes that led to its state: until they come, followers that are a little behind
+        wait, since ranges would cost a hundred times as much."""
+        self.history_awaited_until = now + HISTORY_TIMEOUT
 
-    def recalled(self, now: int, recalling: bool) -> list[Command]:
-        """The history may reach further back; `recalling`: more is to come."""
-        self.now, self.commands = now, []
-        self.recalled_by = now + RECALLING if recalling else 0
-        self._serve_waiting()
+    def history_received(self, now: int, more_expected: bool) -> list[Command]:
+        """The history may reach further back now; `more_expected`: another reply is to come."""
+        self._begin(now)
+        self.history_awaited_until = now + HISTORY_TIMEOUT if more_expected else 0
+        self._serve_up_to_date()
         return self._finished()
 
-    def _serve_waiting(self) -> None:
-        for number, link in list(self.links.items()):
-            if link.turn is SessionState.OURS:
-                self._serve(number, link)
+    def _begin(self, now: int) -> None:
+        self.now = now
+        self.commands = []
 
     def _finished(self) -> list[Command]:
-        self._beat()
-        self._pump()
-        due = [self.beat_at, self.pace.due if self.ranges.ready else None]
-        wake = min((at for at in due if at is not None), default=None)
-        if wake not in (None, self.wake):
-            self.commands.append(Wake(wake))
-        self.wake = wake
-        if not self.ranges.ready and not self.asked:
-            self.asked = True
-            self.commands.append(More())
+        """Sends what is due, and requests the next timer and step."""
+        self._send_heartbeats()
+        self._send_due_ranges()
+        due_times = (self.heartbeat_at, self.pacer.due if self.ranges.ready else None)
+        timer = min((at for at in due_times if at is not None), default=None)
+        if timer not in (None, self.timer):
+            self.commands.append(SetTimer(timer))
+        self.timer = timer
+        if not self.ranges.ready and not self.step_scheduled:
+            self.step_scheduled = True
+            self.commands.append(ScheduleStep())
         return self.commands
 
     # Links
 
-    def _connected(self, number: int) -> None:
-        if self.left or len(self.links) >= self.most:
-            reason = "leaving" if self.left else "full"
-            self._say(number, Goodbye(reason, self.position))
-            self.commands += [Close(number, reason), Note(reason, str(number))]
+    def _connected(self, link: int) -> None:
+        if self.shutting_down or len(self.sessions) >= self.max_links:
+            reason = "leaving" if self.shutting_down else "full"
+            self._send(link, Goodbye(reason, self.position))
+            self.commands += [Close(link, reason), CountEvent(reason, str(link))]
             return
-        self.links[number] = FollowerSession(self.now)
-        if self.beat_at is None:
-            self.beat_at = self.now + BEAT
+        self.sessions[link] = FollowerSession(self.now)
+        if self.heartbeat_at is None:
+            self.heartbeat_at = self.now + HEARTBEAT_INTERVAL
 
-    def _forget(self, number: int) -> None:
-        if (link := self.links.pop(number, None)) is None:
+    def _forget(self, link: int) -> None:
+        session = self.sessions.pop(link, None)
+        if session is None:
             return
-        self._release(link)
-        self.pace.drop(number)
-        if number in self.blocked:
-            self.blocked.remove(number)
-        self.registry.lost(self.now, number)
-        if not self.links:
-            self.beat_at = None
-
-    def _end(self, number: int, reason: str, told: str = "") -> None:
-        """Closes it, and says why where that is of use."""
-        if told:
-            self._say(number, Goodbye(told, self.position))
-        self.commands += [Close(number, reason), Note(reason, self.links[number].who or str(number))]
-        self._forget(number)
-
-    def _say(self, number: int, message: Message) -> None:
-        self.commands.append(Say(number, pack(message)))
-
-    def _turn(self, link: FollowerSession, turn: SessionState) -> None:
-        link.turn, link.since = turn, self.now
-
-    def _beat(self) -> None:
-        """When it is time, to all alike; and those who had theirs are closed."""
-        if self.beat_at is None or self.now < self.beat_at:
+        self._release_delta(session)
+        self.pacer.remove(link)
+        if link in self.blocked:
+            self.blocked.remove(link)
+        self.registry.disconnected(self.now, link)
+        if not self.sessions:
+            self.heartbeat_at = None
+
+    def _end_link(self, link: int, reason: str, goodbye: str = "") -> None:
+        """Closes a link, after a Goodbye if a reason for it is given."""
+        if goodbye:
+            self._send(link, Goodbye(goodbye, self.position))
+        self.commands += [Close(link, reason), CountEvent(reason, self.sessions[link].name or str(link))]
+        self._forget(link)
+
+    # Heartbeats
+
+    def _send_heartbeats(self) -> None:
+        """Sends heartbeats to all followers if they are due, and closes links whose timeout is over."""
+        if self.heartbeat_at is None or self.now < self.heartbeat_at:
             return
-        if 0 < self.recalled_by <= self.now:
-            self.recalled_by = 0
-            self._serve_waiting()
-        frames, self.beaten_at, self.told_way = [*map(pack, map(self._told_beat, (False, True)))], self.now, self._way()
-        for number, link in list(self.links.items()):
-            lasted = self.now - link.since
-            if link.turn is SessionState.NAMELESS:
-                if lasted >= NAMELESS:
-                    self._end(number, "no hello")
-                continue
-            if link.turn in (SessionState.THEIRS, SessionState.WANTS) and lasted >= SLOW:
-                self._end(number, "slow")
-                continue
-            if link.turn is SessionState.THEIRS and lasted >= BEAT:
-                self.pace.drop(number)  # so that it holds nobody back; it gets in line again by its Ack
-            self.commands.append(Say(number, frames[link.relay]))
-        if self.links:
-            self.beat_at = self.now + BEAT
-
-    def _told_beat(self, relay: bool) -> Beat:
-        """The way is for relays: no one follows a gateway."""
+        if 0 < self.history_awaited_until <= self.now:
+            self.history_awaited_until = 0
+            self._serve_up_to_date()
+        frames = {relay: pack(self._heartbeat(relay)) for relay in (False, True)}
+        self.last_heartbeat_at = self.now
+        self.last_path = self._path()
+        for link, session in list(self.sessions.items()):
+            if self._check_timeouts(link, session):
+                self.commands.append(SendFrame(link, frames[session.relay]))
+        if self.sessions:
+            self.heartbeat_at = self.now + HEARTBEAT_INTERVAL
+
+    def _check_timeouts(self, link: int, session: FollowerSession) -> bool:
+        """Closes a link whose timeout is over; returns whether it is a follower's and stays open."""
+        elapsed = self.now - session.state_since
+        if session.state is SessionState.AWAITING_HELLO:
+            if elapsed >= HELLO_TIMEOUT:
+                self._end_link(link, "no hello")
+            return False
+        awaiting_answer = session.state in (SessionState.AWAITING_ACK, SessionState.AWAITING_RANGE_REQUEST)
+        if awaiting_answer and elapsed >= ANSWER_TIMEOUT:
+            self._end_link(link, "slow")
+            return False
+        if session.state is SessionState.AWAITING_ACK and elapsed >= HEARTBEAT_INTERVAL:
+            self.pacer.remove(link)  # others take its turn; its Ack queues it again
+        return True
+
+    def _heartbeat(self, relay: bool) -> Heartbeat:
+        """A heartbeat for a relay or a gateway; only relays need the path, since no one follows a gateway."""
         age = self.age(self.now)
-        return Beat(self.position, UNKNOWN if age is None else age, self._way() if relay else ())
+        return Heartbeat(self.position, AGE_UNKNOWN if age is None else age, self._path() if relay else ())
 
-    def _way(self) -> tuple[str, ...]:
-        return (self.who, *self.way())[:MOST_WAY]
+    def _path(self) -> tuple[str, ...]:
+        return (self.name, *self.upstream_path())[:MAX_PATH_NAMES]
 
-    # What is heard
+    # Messages
 
-    def _heard(self, number: int, link: FollowerSession, message: Message | None) -> None:
+    def _received(self, link: int, session: FollowerSession, message: Message | None) -> None:
         match message:
             case None:
-                self._end(number, "malformed", "malformed")
-            case Hello() if link.turn is SessionState.NAMELESS:
-                self._hello(number, link, message)
-            case Ack(position, digest) if link.turn in (SessionState.OURS, SessionState.THEIRS):
-                self._acked(number, link, position, digest)
-            case Want(ranges) if link.turn is SessionState.WANTS:
-                link.ranges = sorted(set(ranges), reverse=True)
-                self._queue(number, link)
-            case Recall(before) if link.relay:
-                self._say(number, Past(before, self.history.past(before)))
-            case Report() if link.relay:
-                self.registry.reported(self.now, number, message)
+                self._end_link(link, "malformed", "malformed")
+            case Hello() if session.state is SessionState.AWAITING_HELLO:
+                self._hello(link, session, message)
+            case Ack(position, digest) if session.state in (SessionState.UP_TO_DATE, SessionState.AWAITING_ACK):
+                self._acked(link, session, position, digest)
+            case RangeRequest(ranges) if session.state is SessionState.AWAITING_RANGE_REQUEST:
+                session.wanted_ranges = sorted(set(ranges), reverse=True)
+                self._queue_range(link, session)
+            case HistoryRequest(before) if session.relay:
+                self._send(link, HistoryReply(before, self.history.steps_before(before)))
+            case Report() if session.relay:
+                self.registry.reported(self.now, link, message)
             case _:
-                self._end(number, "out of turn", "malformed")
+                self._end_link(link, "out of turn", "malformed")
 
-    def _hello(self, number: int, link: FollowerSession, told: Hello) -> None:
-        if told.version != VERSION:
-            return self._end(number, "version", "version")
-        link.who, link.relay, link.position, link.digest = told.who, told.relay, told.position, told.digest
-        if self._outdated(number, link):
+    def _hello(self, link: int, session: FollowerSession, hello: Hello) -> None:
+        if hello.version != VERSION:
+            self._end_link(link, "version", "version")
+            return
+        session.name = hello.name
+        session.relay = hello.relay
+        session.position = hello.position
+        session.digest = hello.digest
+        if self._refuse_newer_term(link, session):
             return
-        self.registry.came(self.now, number, told.who, told.relay, told.position)
-        self._say(number, Welcome(VERSION, self.who, self.position))
-        self._say(number, self._told_beat(told.relay))
-        self._serve(number, link)
-
-    def _outdated(self, number: int, link: FollowerSession) -> bool:
-        """Whether it has what a later publisher said. (One that has nothing itself yet can't judge.)"""
-        if not self.outdated and not 0 < self.position.term < link.position.term:
+        self.registry.connected(self.now, link, hello.name, hello.relay, hello.position)
+        self._send(link, Welcome(VERSION, self.name, self.position))
+        self._send(link, self._heartbeat(hello.relay))
+        self._serve(link, session)
+
+    def _refuse_newer_term(self, link: int, session: FollowerSession) -> bool:
+        """Ends the link of a follower whose state is of a later publisher; returns whether it did.
+
+        A server that has no state yet can't tell, and refuses no one.
+        """
+        if not self.outdated and not 0 < self.position.term < session.position.term:
             return False
-        if link.position.term > self.position.term:
-            self.higher = max(self.higher, link.position.term)
-        self._end(number, "older term", "older term")
+        if session.position.term > self.position.term:
+            self.higher_term = max(self.higher_term, session.position.term)
+        self._end_link(link, "older term", "older term")
         return True
 
-    def _acked(self, number: int, link: FollowerSession, position: Position, digest: int) -> None:
-        going_on = link.turn is SessionState.THEIRS and position == link.position
-        link.position, link.digest = position, digest
-        if self._outdated(number, link):
-            return
-        self.registry.acked(number, position)
-        if going_on and link.delta is not None:
-            self._next(number, link)
-        elif going_on and link.base is not None:
-            self._queue(number, link)
-        else:
-            self._release(link)
-            link.base, link.ranges, link.frames = None, [], []
-            self.pace.drop(number)
-            self._serve(number, link)
-
-    # What is sent
-
-    def _serve(self, number: int, link: FollowerSession) -> None:
-        """By what it said last."""
-        history, at = self.history, link.position
-        if at > self.position or at == self.position and link.digest == history.digest(at):
-            self._turn(link, SessionState.OURS)  # or it is ahead: in time it turns to another
-        elif history.knows(at) and history.digest(at) in (None, link.digest):
-            self._begin(number, link, at)
-        elif history.passed(at) and link.passed_over != at:
-            link.passed_over = at  # again there: it failed. Guards against ranges for all who move in a burst
-            self._begin(number, link, at)
-        elif self.now < self.recalled_by and at > EMPTY and not history.knows(at):
-            self._turn(link, SessionState.OURS)  # until that has come, or the time is over
-        else:
-            self._tell_digests(number, link)
-
-    def _tell_digests(self, number: int, link: FollowerSession) -> None:
-        if self.digests is None:
-            self.digests = pack(Digests(self.position, tuple(self.store.sums)))
-        link.base = self.position
-        self.commands.append(Say(number, self.digests))
-        self._turn(link, SessionState.WANTS)
-
-    def _begin(self, number: int, link: FollowerSession, after: Position) -> None:
-        """A Delta from there on; to be told from the history. It waits where too many are half sent."""
-        delta = self.deltas.get(after)
-        if delta is None:
-            changes = self.history.merged(after)
-            delta = EncodedChange(after, self.position, self.history.digest(self.position), changes)
-            if len(self.deltas) < DELTAS:
-                self.deltas[after] = delta
-        if delta.long and id(delta) not in self.held and len(self.held) >= DELTAS:
-            self._turn(link, SessionState.QUEUED)
-            self.blocked.append(number)
-            return
-        link.base = None
-        if delta.long:
-            self.held.add(id(delta))
-            delta.users += 1
-            link.delta, link.sent = delta, 0
-            self._next(number, link)
-        else:
-            self.commands.append(Say(number, delta.frame(0)))
-            self._turn(link, SessionState.THEIRS)
-
-    def _next(self, number: int, link: FollowerSession) -> None:
-        """Frame of a Delta."""
-        delta = link.delta
-        self.commands.append(Say(number, delta.frame(link.sent)))
-        self._turn(link, SessionState.THEIRS)
-        if delta.last(link.sent):
-            self._release(link)
-        link.sent += 1
-
-    def _release(self, link: FollowerSession) -> None:
-        """The Delta that it was sent is sent, or given up; who waited for that goes on."""
-        delta, link.delta = link.delta, None
-        if delta is None:
+    def _acked(self, link: int, session: FollowerSession, position: Position, digest: int) -> None:
+        continues = session.state is SessionState.AWAITING_ACK and position == session.position
+        session.position = position
+        session.digest = digest
+        if self._refuse_newer_term(link, session):
             return
-        delta.users -= 1
-        if not delta.users:
-            self.held.discard(id(delta))
-            waited, self.blocked = self.blocked, deque()
-            for number in waited:
-                other = self.links[number]
-                self._after_ranges(number, other) if other.base is not None else self._serve(number, other)
-
-    # Ranges
-
-    def _queue(self, number: int, link: FollowerSession) -> None:
-        """It wants ranges, and gets them when its turn comes; after the last one, what changed since."""
-        if link.ranges or link.frames:
-            self._turn(link, SessionState.QUEUED)
-            self.pace.ask(number)
+        self.registry.acked(link, position)
+        if continues and session.delta is not None:
+            self._send_next_delta_frame(link, session)
+        elif continues and session.base is not None:
+            self._queue_range(link, session)
         else:
-            self.pace.drop(number)
-            self._after_ranges(number, link)
-
-    def _after_ranges(self, number: int, link: FollowerSession) -> None:
-        if self.history.knows(link.base):
-            self._begin(number, link, link.base)
-        else:  # too much changed meanwhile: what differs now
-            self._tell_digests(number, link)
-
-    def _pump(self) -> None:
-        """Sends ranges as the pace allows; none while one's keys aren't up to date."""
-        while self.ranges.ready and (number := self.pace.next(self.now)) is not None:
-            link = self.links[number]
-            if not link.frames:
-                link.frames = self.ranges.frames(link.ranges.pop())[::-1]
-            frame = link.frames.pop()
-            self.commands.append(Say(number, frame))
-            self._turn(link, SessionState.THEIRS)
-            self.pace.sent(self.now, len(framed(frame)))
+            self._release_delta(session)
+            session.base = None
+            session.wanted_ranges = []
+            session.range_frames = []
+            self.pacer.remove(link)
+            self._serve(link, session)
--- a/oakfork/control/framing.py
+++ b/oakfork/control/framing.py
@@ -1,7 +1,8 @@
-"""Frames as they go over the wire: four bytes of length, big-endian, then a body of messages.pack. Pure.
+"""The wire format of frames: four bytes of length, big-endian, then a body of messages.pack. No I/O.
 
-The topmost bit of the length says that the body goes by zlib, as it does where that makes it shorter and it is not
-small (experiments/control_codec.py has the bytes). A body is LARGEST_FRAME bytes at most, before and after.
+The topmost bit of the length marks a body that is compressed with zlib, which is done if the body isn't small and gets
+shorter by it (experiments/control_codec.py has the sizes). A body has LARGEST_FRAME bytes at most, before and after
+compression.
 """
 
 import zlib
@@ -9,32 +10,41 @@
 
 from oakfork.control.messages import LARGEST_FRAME
 
-HEAD = 4  # bytes of a frame's length
-ZIPPED = 1 << 31  # in it
-SMALL = 256  # bytes; smaller ones go as they are
-FRAMED = 320  # zipped bodies kept for all who are sent the same, as many as ranges and some; the oldest go
+HEADER_BYTES = 4  # of a frame's length
+COMPRESSED = 1 << 31  # bit in the length
+MIN_COMPRESSED_BYTES = 256  # smaller bodies are sent uncompressed
+# Compressed frames cached for followers that receive the same body: one for each range, and some more.
+CACHED_FRAMES = 320
 
 
-@lru_cache(FRAMED)
-def _zipped(body: bytes) -> bytes:
+@lru_cache(CACHED_FRAMES)
+def _compressed_frame(body: bytes) -> bytes:
     data = zlib.compress(body)
-    return (len(data) | ZIPPED).to_bytes(HEAD, "big") + data if len(data) < len(body) else _plain(body)
+    if len(data) >= len(body):
+        return _plain_frame(body)
+    return (len(data) | COMPRESSED).to_bytes(HEADER_BYTES, "big") + data
 
 
-def _plain(body: bytes) -> bytes:
-    return len(body).to_bytes(HEAD, "big") + body
+def _plain_frame(body: bytes) -> bytes:
+    return len(body).to_bytes(HEADER_BYTES, "big") + body
 
 
 def framed(body: bytes) -> bytes:
-    """As it goes over the wire."""
-    return _plain(body) if len(body) < SMALL else _zipped(body)
+    """A frame as it is sent: the length and the body, compressed if that is shorter."""
+    if len(body) < MIN_COMPRESSED_BYTES:
+        return _plain_frame(body)
+    return _compressed_frame(body)
 
 
-def unzipped(data: bytes) -> bytes | None:
-    """None where that is not whole, or more than a frame holds: no more than that is ever unpacked."""
-    work = zlib.decompressobj()
+def decompressed(data: bytes) -> bytes | None:
+    """Decompresses a body; None if the data is malformed or decompresses to more than LARGEST_FRAME bytes.
+
+    Never decompresses more than a frame may hold.
+    """
+    decompressor = zlib.decompressobj()
     try:
-        body = work.decompress(data, LARGEST_FRAME + 1)
+        body = decompressor.decompress(data, LARGEST_FRAME + 1)
     except zlib.error:
         return None
-    return body if work.eof and not work.unused_data and len(body) <= LARGEST_FRAME else None
+    complete = decompressor.eof and not decompressor.unused_data
+    return body if complete and len(body) <= LARGEST_FRAME else None
--- a/oakfork/control/history.py
+++ b/oakfork/control/history.py
@@ -1,137 +1,161 @@
-"""What changed from one position to the next, as far back as it is kept. Pure."""
+"""The changes between consecutive positions, for a bounded number of positions back. No I/O."""
 
 from collections import deque
 from typing import Callable, NamedTuple, Sequence
 
 from oakfork.control.events import Changes, Key
-from oakfork.control.messages import EMPTY, Before, Position
+from oakfork.control.messages import EMPTY, HistoryStep, Position
 
-# A day's 2,000 changes beside a zone's 2,560 servers gone and back twice; to merge all of it is one step of the event
-# loop of a relay or publisher, never of a gateway. Beyond that, ranges cost little more than the changes.
-MOST_ROWS = 16_384
-MOST_SETS = 4_096  # as many again, where sets have one row or none
-PAST_STEPS, PAST_KEYS = 512, 1_024  # of one answer to who recalls; with keys of any length less than a frame holds
+# Rows in all change sets: room for a day's 2,000 changes and for a zone's 2,560 servers removed and restored twice.
+# Merging all of it is one step of the event loop of a relay or publisher, never of a gateway. Further back, sending
+# ranges costs little more than sending the changes.
+MAX_HISTORY_ROWS = 16_384
+MAX_HISTORY_SETS = 4_096  # change sets; reached first if most of them have few rows
+MAX_REPLY_STEPS = 512  # in one reply to a history request
+MAX_REPLY_KEYS = 1_024  # in one reply; with keys of any length these are less than a frame holds
 
 
-class _Set(NamedTuple):
+class _ChangeSet(NamedTuple):
     position: Position
     changes: Changes
     digest: int | None
 
 
 class History:
-    """Consecutive change sets. A new one pushes out the oldest that are too many; one that doesn't follow on the newest
-    (or mends it, where it stands) pushes out all."""
+    """Consecutive change sets.
+
+    Adding one drops the oldest beyond the bounds. Adding one that doesn't follow the newest, or that repairs the state
+    without a new position, drops all others.
+    """
 
     def __init__(
-        self, position: Position, digest: int | None, most_rows: int = MOST_ROWS, most_sets: int = MOST_SETS
+        self,
+        position: Position,
+        digest: int | None,
+        max_rows: int = MAX_HISTORY_ROWS,
+        max_sets: int = MAX_HISTORY_SETS,
     ) -> None:
-        self.most_rows, self.most_sets = most_rows, most_sets
-        self.sets: deque[_Set] = deque([_Set(position, {}, digest)])  # the first one is where the second began
+        self.max_rows = max_rows
+        self.max_sets = max_sets
+        # The first entry has no changes: it only marks the position at which the second one began.
+        self.sets: deque[_ChangeSet] = deque([_ChangeSet(position, {}, digest)])
         self.rows = 0
-        self.digests: dict[Position, int | None] = {position: digest}  # of just these positions
+        self.digests: dict[Position, int | None] = {position: digest}  # of exactly the positions in `sets`
 
     @property
     def oldest(self) -> Position:
-        """From where it can tell."""
+        """The oldest position from which changes are known."""
         return self.sets[0].position
 
     @property
     def newest(self) -> Position:
+        """The newest position."""
         return self.sets[-1].position
 
     @property
     def start(self) -> Position:
-        """The oldest, but for nothing: a step from there is a whole state, and how that came about can be recalled."""
-        return self.sets[self._from_nothing()].position
+        """The oldest position other than EMPTY: a step from EMPTY is a whole state, whose own history can still be
+        requested from upstream."""
+        return self.sets[self._begins_empty()].position
 
-    def _from_nothing(self) -> bool:
+    def _begins_empty(self) -> bool:
         return self.oldest == EMPTY and len(self.sets) > 1
 
     def add(self, before: Position, position: Position, changes: Changes, digest: int | None) -> None:
-        """`digest`: of the state at `position`, None where it isn't known. `changes` is kept as it is: don't change
-        it."""
+        """Adds the changes from `before` to `position`, which must not be modified afterwards. `digest` is that of the
+        state at `position`, None if unknown."""
         if self.breaks(before, position):
             self.sets.clear()
             self.digests.clear()
             self.rows = 0
             changes = {}
-        self.sets.append(_Set(position, changes, digest))
+        self.sets.append(_ChangeSet(position, changes, digest))
         self.rows += len(changes)
         self.digests[position] = digest
         self.trim()
 
     def breaks(self, before: Position, position: Position) -> bool:
-        """Whether a change from the one to the other doesn't follow on what is told here."""
+        """Whether a change from `before` to `position` doesn't continue this history."""
         return before != self.newest or before == position
 
-    def past(self, before: Position) -> tuple[Before, ...]:
-        """What led there, the latest step first; of more steps or keys the older ones are left for the next time, and
-        a step of more keys than an answer has is where it ends."""
-        steps: list[Before] = []
-        keys, later = 0, None  # the change set that followed on the one in hand
+    def steps_before(self, before: Position) -> tuple[HistoryStep, ...]:
+        """The steps that led to a position, latest first, MAX_REPLY_STEPS and MAX_REPLY_KEYS at most.
+
+        Older ones are left for the next request; a step with more keys than a reply holds ends the answers.
+        """
+        steps: list[HistoryStep] = []
+        key_count = 0
+        later: _ChangeSet | None = None  # the change set that followed the one under consideration
         for each in reversed(self.sets):
             if later is not None:
-                keys += len(later.changes)
-                if keys > PAST_KEYS or len(steps) == PAST_STEPS:
+                key_count += len(later.changes)
+                if key_count > MAX_REPLY_KEYS or len(steps) == MAX_REPLY_STEPS:
                     break
-                steps.append(Before(each.position, each.digest, tuple(later.changes)))
+                steps.append(HistoryStep(each.position, each.digest, tuple(later.changes)))
             if steps or each.position == before:
                 later = each
         return tuple(steps)
 
-    def recall(self, before: Position, steps: Sequence[Before], value: Callable[[Key], bytes | None]) -> bool:
-        """Takes in what led to `start`, told by `past` of another; `value` is what is in force now, which
-        is what `merged` tells of a record in any case. Returns whether there is room for more. What is wrong in it
-        costs ranges: a digest that differs, or a Delta that leads to another one, is found by who follows."""
+    def extend_back(self, before: Position, steps: Sequence[HistoryStep], value: Callable[[Key], bytes | None]) -> bool:
+        """Prepends the steps that led to `start`, from another History's `steps_before`; returns whether there is room
+        for more.
+
+        `value` gives the value in force, which `merged` returns for a changed record in any case. Wrong steps only
+        cost the transfer of ranges: followers notice a digest that differs, or a Delta that leads to a different one.
+        """
         if before != self.start or not steps or steps[0].position >= before:
             return False
-        if self._from_nothing():
-            self._forget_oldest()
+        if self._begins_empty():
+            self._drop_oldest()
         for position, digest, keys in steps:
-            if position >= self.oldest or self.rows + len(keys) > self.most_rows or len(self.sets) >= self.most_sets:
+            if position >= self.oldest or self.rows + len(keys) > self.max_rows or len(self.sets) >= self.max_sets:
                 return False
             self.sets[0] = self.sets[0]._replace(changes={key: value(key) for key in keys})
-            self.sets.appendleft(_Set(position, {}, digest))
+            self.sets.appendleft(_ChangeSet(position, {}, digest))
             self.rows += len(self.sets[1].changes)
             self.digests[position] = digest
         return self.oldest != EMPTY
 
     def trim(self) -> None:
-        """Forgets the oldest sets that are too many."""
-        while len(self.sets) > 1 and (self.rows > self.most_rows or len(self.sets) > self.most_sets):
-            self._forget_oldest()
+        """Drops the oldest change sets beyond the bounds."""
+        while len(self.sets) > 1 and (self.rows > self.max_rows or len(self.sets) > self.max_sets):
+            self._drop_oldest()
 
-    def _forget_oldest(self) -> None:
-        gone = self.sets.popleft()
-        self.rows -= len(self.sets[0].changes)  # how its successor came about can't be told any more
+    def _drop_oldest(self) -> None:
+        dropped = self.sets.popleft()
+        self.rows -= len(self.sets[0].changes)  # the next set becomes the oldest, so its changes go as well
         self.sets[0] = self.sets[0]._replace(changes={})
-        del self.digests[gone.position]
+        del self.digests[dropped.position]
 
     def knows(self, position: Position) -> bool:
-        """Whether `merged` can tell from there."""
+        """Whether a position is one of this history, so that `merged` works from there."""
         return position in self.digests
 
-    def passed(self, position: Position) -> bool:
-        """Whether it lies between two that are known: several change sets came at once here. `merged` can tell from
-        there too, if it is of the same lineage: what changed since the one before, some of which is known there."""
+    def skipped(self, position: Position) -> bool:
+        """Whether a position lies between two known ones, because several change sets arrived here as one.
+
+        `merged` works from there too if the position is of the same lineage: it returns the changes since the known
+        position before it, some of which the follower already has.
+        """
         return self.start < position < self.newest and position not in self.digests
 
     def digest(self, position: Position) -> int | None:
-        """Of the state there; None where either isn't known."""
+        """The digest of the state at a position; None if the position or the digest is unknown."""
         return self.digests.get(position)
 
     def merged(self, after: Position) -> dict[Key, bytes | None] | None:
-        """The last value of all that changed after a position until the newest; None if that can't be told. Costs the
-        rows of the history."""
-        if not (self.knows(after) or self.passed(after)):
+        """The last value of every record that changed after a position; None if that is unknown.
+
+        The cost grows with the rows of the history.
+        """
+        if not (self.knows(after) or self.skipped(after)):
             return None
-        since: list[Changes] = []
-        for each in reversed(self.sets):  # those who ask lag by little
+        later: list[Changes] = []
+        for each in reversed(self.sets):  # from the newest, since most followers are only a little behind
             if each.position <= after:
                 break
-            since.append(each.changes)
+            later.append(each.changes)
         merged: dict[Key, bytes | None] = {}
-        for changes in reversed(since):
+        for changes in reversed(later):
             merged |= changes
         return merged
--- a/oakfork/control/messages.py
+++ b/oakfork/control/messages.py
@@ -1,7 +1,7 @@
-"""What publisher, relays and followers say to each other, and the records that changes are made of. Types only.
+"""Messages between publisher, relays and followers, and the records that changes consist of. Types only.
 
-A *position* is (term, number): terms tell publishers apart, numbers count the change sets in force. Positions are
-compared as pairs; what one says of an older term has no effect.
+A *position* is (term, number): terms distinguish publishers, numbers count the change sets in force. Positions compare
+as pairs. Messages of an older term have no effect.
 """
 
 from enum import IntEnum
@@ -9,44 +9,54 @@
 
 import msgspec
 
-VERSION = 3  # 2: a Beat tells its way; 3: relays recall what they have not seen themselves
-RANGES = 256  # parts of the state by the hash of a record's key; each has a digest of its own
-LARGEST_FRAME = 256 * 1024  # bytes of one frame
-MOST_ROWS = 4096  # of one frame
-LONGEST_NAME = 128  # bytes
-BEAT = 2_000  # milliseconds from one Beat to the next, on every connection
-
-MOST_WAY = 16  # names of a Beat's way; relays that follow one another in a chain are fewer
-
-Name = Annotated[str, msgspec.Meta(min_length=1, max_length=LONGEST_NAME)]
+VERSION = 3  # 2 added the path to heartbeats; 3 lets relays request history that they haven't seen themselves
+RANGES = 256  # parts of the state by the hash of a record's key; each has its own digest
+LARGEST_FRAME = 256 * 1024  # bytes in one frame
+MOST_ROWS = 4096  # in one frame
+MAX_NAME_BYTES = 128
+HEARTBEAT_INTERVAL = 2_000  # milliseconds between heartbeats on each connection
+MAX_PATH_NAMES = 16  # in a heartbeat's path; chains of relays are shorter
+MAX_VALUE_BYTES = 4096  # of a packed record
+MAX_REPORT_NAMES = 1024  # connected, and disconnected, in one report
+MAX_REPORT_LAGGING = 32  # lagging followers named in one report
+MAX_HISTORY_STEPS = 1024  # in one history reply
+MAX_FAULTS = 64  # in one submit result
+MAX_REASON_LENGTH = 64  # characters of a goodbye's reason
+SUBMIT_OVERHEAD = 1024  # bytes of a frame left for everything in a Submit but the change file
+
+Name = Annotated[str, msgspec.Meta(min_length=1, max_length=MAX_NAME_BYTES)]
 Number = Annotated[int, msgspec.Meta(ge=0, le=(1 << 62) - 1)]
-Way = Annotated[tuple[Name, ...], msgspec.Meta(max_length=MOST_WAY)]
-Digest = Annotated[int, msgspec.Meta(ge=0)]  # 64 bits, more than which msgpack has no room for
+RelayPath = Annotated[tuple[Name, ...], msgspec.Meta(max_length=MAX_PATH_NAMES)]
+Digest = Annotated[int, msgspec.Meta(ge=0)]  # 64 bits, the most that msgpack can hold
 Small = Annotated[int, msgspec.Meta(ge=0, le=0xFFFF)]
-Value = Annotated[bytes, msgspec.Meta(max_length=4096)]
+Value = Annotated[bytes, msgspec.Meta(max_length=MAX_VALUE_BYTES)]
+RangeNumber = Annotated[int, msgspec.Meta(ge=0, lt=RANGES)]
 
 
 class Kind(IntEnum):
-    """Of records."""
+    """The kind of a record."""
 
     SERVICE = 0
     SERVER = 1
     ROUTE = 2
     TENANT = 3
 
-    __hash__ = int.__hash__  # an Enum's own is of its name and costs a call; records are looked up by kind and name
+    # Enum's own hash is computed from the name and costs a call; records are looked up by kind and name.
+    __hash__ = int.__hash__
 
 
 class Position(NamedTuple):
+    """Identifies a state: the publisher's term and the number of change sets in force."""
+
     term: Number = 0
     number: Number = 0
 
 
-EMPTY = Position()  # of no term: where there is no record yet
+EMPTY = Position()  # the position of an empty state, before any term
 
 
 class Row(NamedTuple):
-    """One record put (its packed value), or taken away (None)."""
+    """One record that is put (its packed value) or removed (None)."""
 
     kind: Kind
     name: Name
@@ -54,175 +64,184 @@
 
 
 class Message(msgspec.Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
-    """The base of all; `tag` tells the kinds apart in a frame."""
+    """The base class of all messages; `tag` identifies the type in a frame."""
 
 
-# Up: from who follows to whom it follows
+# Upstream: from a follower to the process that it follows
 
 
 class Hello(Message, tag=1):
-    """The first on a connection: who follows, and what it has."""
+    """The first message on a connection: who follows, and the state that it has."""
 
     version: Small
-    who: Name
-    relay: bool  # it serves others, and will report on them
+    name: Name
+    relay: bool  # the follower serves others and will report on them
     position: Position
     digest: Digest
 
 
 class Ack(Message, tag=2):
-    """What the sender has in force now: asks for what is beyond it, one frame at a time."""
+    """The position now in force at the sender. Requests what follows it, one frame at a time."""
 
     position: Position
     digest: Digest
 
 
-class Want(Message, tag=3):
-    """The ranges whose digests differ from those in Digests; none: they all agree."""
+class RangeRequest(Message, tag=3):
+    """The ranges whose digests differ from those in Digests; empty if all agree."""
+
+    ranges: Annotated[tuple[RangeNumber, ...], msgspec.Meta(max_length=RANGES)]
 
-    ranges: Annotated[tuple[Annotated[int, msgspec.Meta(ge=0, lt=RANGES)], ...], msgspec.Meta(max_length=RANGES)]
 
+class LaggingFollower(NamedTuple):
+    """A follower that is behind, and for how many milliseconds it has not been up to date."""
 
-class Behind(NamedTuple):
-    who: Name
+    name: Name
     position: Position
-    since: Number  # milliseconds that it has not been up to date
+    behind_ms: Number
 
 
 class Report(Message, tag=4):
-    """From a relay, of all below it: who came and who went since its last report, the lowest position in force among
-    those that are connected, and who is behind the position that the relay has itself (the worst first, 32 at most)."""
+    """A relay's report on all followers below it: who connected (`came`) and disconnected (`went`) since the last
+    report, the lowest position in force among those connected, and who is behind the relay's own position (furthest
+    behind first, MAX_REPORT_LAGGING at most)."""
 
-    came: Annotated[tuple[Name, ...], msgspec.Meta(max_length=1024)]
-    went: Annotated[tuple[Name, ...], msgspec.Meta(max_length=1024)]
+    came: Annotated[tuple[Name, ...], msgspec.Meta(max_length=MAX_REPORT_NAMES)]
+    went: Annotated[tuple[Name, ...], msgspec.Meta(max_length=MAX_REPORT_NAMES)]
     lowest: Position
-    behind: Annotated[tuple[Behind, ...], msgspec.Meta(max_length=32)]
-    others_behind: Number  # beyond those named
+    behind: Annotated[tuple[LaggingFollower, ...], msgspec.Meta(max_length=MAX_REPORT_LAGGING)]
+    others_behind: Number  # lagging followers that are not named
 
 
-class Recall(Message, tag=5):
-    """From a relay: what changed before a position, the oldest that it can tell from. At any time, by its side of the
-    turns; one Past comes for each."""
+class HistoryRequest(Message, tag=5):
+    """A relay requests the changes before a position, the oldest that it can serve from. It may be sent at any time,
+    independently of Hello, Ack and RangeRequest; each gets one HistoryReply."""
 
     before: Position
 
 
-# Down
+# Downstream
 
 
 class Welcome(Message, tag=16):
+    """The answer to Hello, with the sender's position."""
+
     version: Small
-    who: Name
-    position: Position  # of the sender
+    name: Name
+    position: Position
 
 
 class Delta(Message, tag=17):
-    """All changes between two positions, the last value of each record only: in force whole or not at all."""
+    """All changes between two positions, with only the last value of each record. Applied whole or not at all."""
 
     after: Position
     position: Position
     digest: Digest  # of the state at `position`
     rows: Annotated[tuple[Row, ...], msgspec.Meta(max_length=MOST_ROWS)]
-    more: bool  # the rows go on in the next frame, which has the same positions; in force with the last
+    more: bool  # the rows continue in the next frame, which has the same positions; applied with the last one
 
 
 class Digests(Message, tag=18):
-    """Where the sender can't tell what lies between: the digest of each range at a position; the ranges asked for and
-    a Delta after that position follow."""
+    """Sent if the sender doesn't know the changes between the two positions: the digest of each range at `position`.
+    The ranges that the follower requests and a Delta after that position come next."""
 
     position: Position
     sums: Annotated[tuple[Digest, ...], msgspec.Meta(min_length=RANGES, max_length=RANGES)]
 
 
 class Range(Message, tag=19):
-    """The records of one range, as they are at the sender now; what else the receiver has in it is gone."""
+    """All records of one range as the sender has them now; the receiver removes any others in that range."""
 
-    range: Annotated[int, msgspec.Meta(ge=0, lt=RANGES)]
+    range: RangeNumber
     rows: Annotated[tuple[Row, ...], msgspec.Meta(max_length=MOST_ROWS)]
-    more: bool  # of this range, in the next frame
+    more: bool  # this range continues in the next frame
 
 
-class Beat(Message, tag=20):
-    """Nothing new: the sender lives, and heard from the publisher so many milliseconds ago. `way`: itself, whom it
-    follows, and so on upward, as far as it knows and as many as there is room for; told to relays alone."""
+class Heartbeat(Message, tag=20):
+    """The sender is alive and heard from the publisher `age` milliseconds ago. `path` names the sender, the process
+    that it follows and so on upstream, as far as known and up to MAX_PATH_NAMES; only relays receive it."""
 
     position: Position
     age: Number
-    way: Way = ()
+    path: RelayPath = ()
 
 
 class Goodbye(Message, tag=21):
-    """The sender ends the connection, and why: "older term", "version", "full", "leaving", "malformed"."""
+    """The sender ends the connection. Reasons: "older term", "version", "full", "leaving", "malformed"."""
 
-    reason: Annotated[str, msgspec.Meta(max_length=64)]
+    reason: Annotated[str, msgspec.Meta(max_length=MAX_REASON_LENGTH)]
     position: Position
 
 
-class Before(NamedTuple):
-    """A position, and whose records changed from there to the next one; their values are those now in force."""
+class HistoryStep(NamedTuple):
+    """A position and the keys of the records that changed from there to the next one; their values are those now in
+    force."""
 
     position: Position
-    digest: Digest | None  # of the state there, where it is known
+    digest: Digest | None  # of the state there, if known
     keys: Annotated[tuple[tuple[Kind, Name], ...], msgspec.Meta(max_length=MOST_ROWS)]
 
 
-class Past(Message, tag=22):
-    """What led to a position, the latest step first; none: nothing older is known."""
+class HistoryReply(Message, tag=22):
+    """The steps that led to a position, latest first; empty if nothing older is known."""
 
     before: Position
-    steps: Annotated[tuple[Before, ...], msgspec.Meta(max_length=1024)]
+    steps: Annotated[tuple[HistoryStep, ...], msgspec.Meta(max_length=MAX_HISTORY_STEPS)]
 
 
-# Operators and the publisher, on the same port
+# Between operators and the publisher, on the same port
 
 
 class Submit(Message, tag=32):
-    """A change set, JSON of docs/control.md. Sent again under the same id it is in force once, and answered alike."""
+    """A change set, as JSON (docs/control.md). Submitting the same id again has no second effect and gets the same
+    answer."""
 
     id: Name
-    change: Annotated[bytes, msgspec.Meta(max_length=LARGEST_FRAME - 1024)]
+    change: Annotated[bytes, msgspec.Meta(max_length=LARGEST_FRAME - SUBMIT_OVERHEAD)]
 
 
-class Verdict(Message, tag=33):
-    """In force whole and durable at a position, or refused whole, each fault by its path."""
+class SubmitResult(Message, tag=33):
+    """The change set is in force and durable at a position, or refused as a whole with each fault by its path."""
 
     id: Name
     position: Position | None
-    faults: Annotated[tuple[str, ...], msgspec.Meta(max_length=64)]
+    faults: Annotated[tuple[str, ...], msgspec.Meta(max_length=MAX_FAULTS)]
 
 
-class Ask(Message, tag=34):
-    """For the status."""
+class StatusRequest(Message, tag=34):
+    """Requests the status."""
 
 
 class Status(Message, tag=35):
-    """JSON of docs/control.md."""
+    """The status, as JSON (docs/control.md)."""
 
-    told: bytes
+    document: bytes
 
 
-Up = Hello | Ack | Want | Report | Recall | Submit | Ask
-Down = Welcome | Delta | Digests | Range | Beat | Goodbye | Past | Verdict | Status
+Up = Hello | Ack | RangeRequest | Report | HistoryRequest | Submit | StatusRequest
+Down = Welcome | Delta | Digests | Range | Heartbeat | Goodbye | HistoryReply | SubmitResult | Status
 
 _encoder = msgspec.msgpack.Encoder()
-_up, _down = msgspec.msgpack.Decoder(Up), msgspec.msgpack.Decoder(Down)
+_up_decoder = msgspec.msgpack.Decoder(Up)
+_down_decoder = msgspec.msgpack.Decoder(Down)
 
 
 def pack(message: Message) -> bytes:
-    """The frame's body; the four bytes of its length are the connection's."""
+    """Encodes a message as a frame's body; the connection adds the four bytes of length."""
     return _encoder.encode(message)
 
 
 def unpack_up(data: bytes) -> Up | None:
-    """What one who follows says; None where it is not whole, not ours or too long."""
-    return _unpacked(_up, data)
+    """Decodes a message from a follower; None if it is malformed, of another type or over LARGEST_FRAME bytes."""
+    return _unpack(_up_decoder, data)
 
 
 def unpack_down(data: bytes) -> Down | None:
-    return _unpacked(_down, data)
+    """Decodes a message to a follower; None if it is malformed, of another type or over LARGEST_FRAME bytes."""
+    return _unpack(_down_decoder, data)
 
 
-def _unpacked(decoder: msgspec.msgpack.Decoder, data: bytes):
+def _unpack(decoder: msgspec.msgpack.Decoder, data: bytes):
     if len(data) > LARGEST_FRAME:
         return None
     try:
--- a/oakfork/control/other_publishers.py
+++ b/oakfork/control/other_publishers.py
@@ -1,46 +1,65 @@
-"""What a publisher hears of other publishers: their terms. Pure. Each is asked for its status time and again, so of
-two that were apart the older one knows it soon after the healing, though nobody follows both.
+"""Asks other publishers for their terms. No I/O.
+
+Each is asked for its status again and again. After a partition with a publisher on each side, the one of the older term
+thus soon learns of the other, even if no process follows both.
 """
 
 from typing import Sequence
 
-from oakfork.control.events import Close, Command, Connect, Connected, Event, Heard, Lost, Say, TimeCame
-from oakfork.control.messages import Ask, Status, pack
+from oakfork.control.events import (
+    Close,
+    Command,
+    Connect,
+    Connected,
+    Disconnected,
+    Event,
+    FrameReceived,
+    SendFrame,
+    TimerFired,
+)
+from oakfork.control.messages import Status, StatusRequest, pack
 from oakfork.control.status import term_of
 
-ASK = 10_000  # milliseconds from one time to the next; one that hasn't answered by then is asked anew
+POLL_INTERVAL = 10_000  # milliseconds; a publisher that hasn't answered by the next poll is asked anew
 
 
 class OtherPublishers:
-    """`places`: of all other publishers that may be there. `highest`: the highest term that one told, 0: none."""
+    """Polls the publishers at `addresses`. `highest_term` is the highest term that one reported, 0 if none did."""
 
-    def __init__(self, places: Sequence[str]) -> None:
-        self.places, self.highest = places, 0
-        self.open: set[int] = set()  # links, one a place at most
-        self.last, self.at = 0, 0
+    def __init__(self, addresses: Sequence[str]) -> None:
+        self.addresses = addresses
+        self.highest_term = 0
+        self.open_links: set[int] = set()  # one for each address at most
+        self.last_link = 0
+        self.next_poll = 0
 
     @property
-    def wake(self) -> int | None:
-        return self.at if self.places else None
+    def timer(self) -> int | None:
+        """When to deliver the next TimerFired; None if there are no addresses."""
+        return self.next_poll if self.addresses else None
 
     def handle(self, now: int, event: Event) -> list[Command]:
+        """Handles a timer event, or an event of one of its links; ignores all others."""
         match event:
-            case TimeCame() if self.wake is not None and now >= self.at:
-                commands: list[Command] = [Close(link, "no answer") for link in sorted(self.open)]
-                self.open.clear()
-                for place in self.places:
-                    self.last -= 1
-                    self.open.add(self.last)
-                    commands.append(Connect(place, self.last))
-                self.at = now + ASK
-                return commands
-            case Connected(link) if link in self.open:
-                return [Say(link, pack(Ask()))]
-            case Lost(link):
-                self.open.discard(link)
-            case Heard(link, message) if link in self.open:
+            case TimerFired() if self.timer is not None and now >= self.next_poll:
+                return self._poll(now)
+            case Connected(link) if link in self.open_links:
+                return [SendFrame(link, pack(StatusRequest()))]
+            case Disconnected(link):
+                self.open_links.discard(link)
+            case FrameReceived(link, message) if link in self.open_links:
                 if isinstance(message, Status):
-                    self.highest = max(self.highest, term_of(message.told))
-                self.open.discard(link)
+                    self.highest_term = max(self.highest_term, term_of(message.document))
+                self.open_links.discard(link)
                 return [Close(link, "answered")]
         return []
+
+    def _poll(self, now: int) -> list[Command]:
+        commands: list[Command] = [Close(link, "no answer") for link in sorted(self.open_links)]
+        self.open_links.clear()
+        for address in self.addresses:
+            self.last_link -= 1
+            self.open_links.add(self.last_link)
+            commands.append(Connect(address, self.last_link))
+        self.next_poll = now + POLL_INTERVAL
+        return commands
--- a/oakfork/control/pacing.py
+++ b/oakfork/control/pacing.py
@@ -1,46 +1,58 @@
-"""Who is sent ranges, and when: a few links by turns, so many bytes a second over all of them. Pure."""
+"""Decides which link is sent a frame of a range, and when: a few links in rotation, at a bounded total rate. No I/O."""
 
 from collections import deque
 
+MICROSECONDS = 1_000  # in a millisecond
+
 
 class RangePacer:
-    """`egress` in bytes a second, what isn't used is lost; `most` links by turns, the others wait, so that those who
-    began also end. Each link is in one of the three tables at most, and `drop` takes it out of any."""
-
-    def __init__(self, egress: int, most: int) -> None:
-        self.egress, self.most = egress, most
-        self.waiting: deque[int] = deque()  # for one of the few to be done
-        self.mending: set[int] = set()  # the few
-        self.ready: deque[int] = deque()  # of them: whose turn it is
-        self.free_at = 0  # microseconds: when the next frame may be sent
-
-    def ask(self, link: int) -> None:
-        """It wants its next frame, and is in no queue."""
-        (self.ready if link in self.mending else self.waiting).append(link)
-        self._admit()
-
-    def drop(self, link: int) -> None:
-        """It is done, gone, or so slow that another gets its place."""
-        self.mending.discard(link)
+    """Limits ranges to `egress` bytes per second over all links; unused capacity is lost.
+
+    `max_active` links are served in rotation and the others wait, so that transfers that have begun also finish. Each
+    link is waiting, or active and possibly ready, or not known here; `remove` works in every case.
+    """
+
+    def __init__(self, egress: int, max_active: int) -> None:
+        self.egress = egress
+        self.max_active = max_active
+        self.waiting: deque[int] = deque()  # links that are not active yet
+        self.active: set[int] = set()  # links served in rotation
+        self.ready: deque[int] = deque()  # active links that want a frame, the next one first
+        self.free_at_us = 0  # microseconds: when the next frame may be sent
+
+    def enqueue(self, link: int) -> None:
+        """A link wants its next frame; it must not be waiting or ready already."""
+        if link in self.active:
+            self.ready.append(link)
+        else:
+            self.waiting.append(link)
+        self._activate()
+
+    def remove(self, link: int) -> None:
+        """A link is finished, has ended, or is too slow and gives up its turn."""
+        self.active.discard(link)
         for queue in (self.waiting, self.ready):
             if link in queue:
                 queue.remove(link)
-        self._admit()
+        self._activate()
 
-    def next(self, now: int) -> int | None:
-        """Whose turn it is, if a frame may be sent. Say `sent` afterwards."""
-        return self.ready.popleft() if self.ready and self.free_at <= now * 1000 else None
+    def next_link(self, now: int) -> int | None:
+        """The link whose turn it is, if a frame may be sent now (milliseconds). Call `sent` after sending it."""
+        if self.ready and self.free_at_us <= now * MICROSECONDS:
+            return self.ready.popleft()
+        return None
 
     def sent(self, now: int, size: int) -> None:
-        self.free_at = max(self.free_at, now * 1000) + size * 1_000_000 // self.egress
+        """A frame of `size` bytes was sent at `now`."""
+        self.free_at_us = max(self.free_at_us, now * MICROSECONDS) + size * 1_000_000 // self.egress
 
     @property
     def due(self) -> int | None:
-        """The time of the next frame; None where nobody waits for one."""
-        return -(-self.free_at // 1000) if self.ready else None
+        """When the next frame may be sent, in milliseconds rounded up; None if no link is ready."""
+        return -(-self.free_at_us // MICROSECONDS) if self.ready else None
 
-    def _admit(self) -> None:
-        while self.waiting and len(self.mending) < self.most:
+    def _activate(self) -> None:
+        while self.waiting and len(self.active) < self.max_active:
             link = self.waiting.popleft()
-            self.mending.add(link)
+            self.active.add(link)
             self.ready.append(link)
--- a/oakfork/control/processes.py
+++ b/oakfork/control/processes.py
@@ -1,4 +1,4 @@
-"""A publisher, a relay, or a follower by itself, as a process. Over trio."""
+"""Runs a publisher, a relay or a single follower as a process. Over trio."""
 
 import json
 import zlib
@@ -8,7 +8,7 @@
 from structlog.stdlib import BoundLogger
 
 from oakfork.control import change_schema
-from oakfork.control.config import PublisherFile, RelayFile
+from oakfork.control.config import PublisherConfig, RelayConfig
 from oakfork.control.connections import listen
 from oakfork.control.database import Database
 from oakfork.control.engine import Engine, serve
@@ -18,99 +18,109 @@
 from oakfork.control.publisher import Publisher
 from oakfork.control.relay import Relay
 from oakfork.control.state import Records
+from oakfork.control.state_index import StateIndex
 
-MOST_RELAYS = 64  # named in a status
+MAX_NAMED_RELAYS = 64  # in a status
 
 
-def with_more(told: bytes, follower_server: FollowerServer, engine: Engine) -> bytes:
-    """A status, and what only who drives the machine knows."""
-    relays = [below for below in follower_server.registry.links.values() if below.relay]
-    return json.dumps(
-        json.loads(told)
-        | {
-            "counts": dict(engine.counts),
-            "links_here": engine.coming,
-            "relays": [
-                {"who": below.who, "position": below.position, "reached": len(below.names) - 1}
-                for below in relays[:MOST_RELAYS]
-            ],
-            "others_relays": max(0, len(relays) - MOST_RELAYS),
-        }
-    ).encode()
+def complete_status(document: bytes, follower_server: FollowerServer, engine: Engine) -> bytes:
+    """Adds to a machine's status, as JSON, the relays that follow it and what only the engine knows."""
+    relays = [downstream for downstream in follower_server.registry.links.values() if downstream.relay]
+    additions = {
+        "counts": dict(engine.counts),
+        "links_here": engine.incoming_count,
+        "relays": [
+            {"who": relay.name, "position": relay.position, "reached": len(relay.reached) - 1}
+            for relay in relays[:MAX_NAMED_RELAYS]
+        ],
+        "others_relays": max(0, len(relays) - MAX_NAMED_RELAYS),
+    }
+    return json.dumps(json.loads(document) | additions).encode()
 
 
 class _Publisher(Publisher):
+    """A publisher whose status includes the engine's figures."""
+
     engine: Engine
 
     def status(self, now: int) -> bytes:
-        return with_more(super().status(now), self.follower_server, self.engine)
+        return complete_status(super().status(now), self.follower_server, self.engine)
 
 
 class _Relay(Relay):
+    """A relay whose status includes the engine's figures."""
+
     engine: Engine
 
     def status(self, now: int) -> bytes:
-        return with_more(super().status(now), self.follower_server, self.engine)
+        return complete_status(super().status(now), self.follower_server, self.engine)
 
 
-def publisher_engine(file: PublisherFile, database: Database, log: BoundLogger) -> Engine:
-    """A publisher of a new term, upon what its database holds; the term is durable when this returns. Waits for the
-    disk: call it in a thread."""
-    loaded, database.loaded = database.loaded, None
-    index = change_schema.StateIndex(loaded.records)
+def publisher_engine(config: PublisherConfig, database: Database, log: BoundLogger) -> Engine:
+    """A publisher of a new term, starting from the database's content; the term is durable when this returns.
+
+    Waits for the disk; call it in a worker thread. Raises DatabaseError.
+    """
+    loaded = database.loaded
+    database.loaded = None
+    index = StateIndex(loaded.records)
     machine = _Publisher(
-        file.who,
-        database.begin_term(file.above_term),
+        config.full_name,
+        database.begin_term(config.above_term),
         loaded.position,
         loaded.records,
         change_schema.parse,
         lambda store, rows: index.contradictions(rows),
         entries=loaded.entries,
         ids=loaded.ids,
-        told=index.in_force,
-        egress=file.egress,
-        most=file.connections,
-        others=file.others,
+        on_change=index.in_force,
+        egress=config.egress,
+        max_links=config.connections,
+        others=config.others,
     )
-    machine.engine = Engine(machine, log, file.connections, database=database)
+    machine.engine = Engine(machine, log, config.connections, database=database)
     return machine.engine
 
 
-def relay_engine(file: RelayFile, log: BoundLogger) -> Engine:
+def relay_engine(config: RelayConfig, log: BoundLogger) -> Engine:
+    """A relay that starts with an empty state."""
     machine = _Relay(
-        file.who,
-        file.upstreams,
+        config.full_name,
+        config.upstreams,
         Records(),
-        seed=zlib.crc32(file.who.encode()),
-        egress=file.egress,
-        most=file.connections,
+        seed=zlib.crc32(config.full_name.encode()),
+        egress=config.egress,
+        max_links=config.connections,
     )
-    machine.engine = Engine(machine, log, file.connections)
+    machine.engine = Engine(machine, log, config.connections)
     return machine.engine
 
 
-async def publisher(file: PublisherFile, log: BoundLogger) -> None:
-    """Raises AddressInUseError and DatabaseError."""
-    listener = listen(file.listen)
-    database = await trio.to_thread.run_sync(Database, file.database, file.log_sets, file.ids)
+async def publisher(config: PublisherConfig, log: BoundLogger) -> None:
+    """Runs a publisher until SIGTERM or SIGINT. Raises AddressInUseError and DatabaseError."""
+    listener = listen(config.listen)
+    database = await trio.to_thread.run_sync(Database, config.database, config.log_sets, config.ids)
     try:
-        engine = await trio.to_thread.run_sync(publisher_engine, file, database, log)
+        engine = await trio.to_thread.run_sync(publisher_engine, config, database, log)
         await serve(engine, listener, log)
     finally:
         database.close()
 
 
-async def relay(file: RelayFile, log: BoundLogger) -> None:
-    """Raises AddressInUseError."""
-    await serve(relay_engine(file, log), listen(file.listen), log)
+async def relay(config: RelayConfig, log: BoundLogger) -> None:
+    """Runs a relay until SIGTERM or SIGINT. Raises AddressInUseError."""
+    await serve(relay_engine(config, log), listen(config.listen), log)
 
 
 async def follow(
-    who: str, relays: Sequence[str], seed: int, log: BoundLogger, tell: Callable[[dict[str, Any]], None]
+    name: str, relays: Sequence[str], seed: int, log: BoundLogger, report: Callable[[dict[str, Any]], None]
 ) -> None:
-    """Tells of each position that comes into force, and how many records changed."""
+    """Runs a follower until SIGTERM or SIGINT.
+
+    Calls `report` for each position that comes into force, with the number of changed records.
+    """
 
-    def in_force(told: InForce) -> None:
-        tell({"before": told.before, "position": told.position, "changes": len(told.changes)})
+    def in_force(change: InForce) -> None:
+        report({"before": change.before, "position": change.position, "changes": len(change.changes)})
 
-    await serve(Engine(Follower(who, relays, Records(), seed=seed), log, in_force=in_force), None, log)
+    await serve(Engine(Follower(name, relays, Records(), seed=seed), log, in_force=in_force), None, log)
--- a/oakfork/control/records.py
+++ b/oakfork/control/records.py
@@ -1,5 +1,7 @@
-"""The records that change sets are made of, and how they are packed: msgspec arrays, the same bytes for the same record
-at all times, since digests rest on them. Only the publisher packs; all others unpack what they look up.
+"""The records that change sets consist of, and their encoding.
+
+Records are packed as msgspec arrays. Digests are computed from the packed bytes, so a record must always pack to the
+same bytes. Only the publisher packs records; all others unpack the ones that they look up.
 """
 
 import socket
@@ -10,12 +12,13 @@
 
 from oakfork.control.messages import Kind
 
-Word = Annotated[str, msgspec.Meta(max_length=256)]
-Amount = Annotated[int, msgspec.Meta(ge=0)] | Annotated[float, msgspec.Meta(ge=0)]  # whole ones pack as integers
+Text = Annotated[str, msgspec.Meta(max_length=256)]
+Amount = Annotated[int, msgspec.Meta(ge=0)] | Annotated[float, msgspec.Meta(ge=0)]  # whole numbers pack as integers
+IPV4_ADDRESS_LIMIT = 1 << 48  # four bytes of IPv4 address and two of port
 
 
 class Effect(IntEnum):
-    """Of a method: idempotent, deduplicated, non-idempotent (both of the last)."""
+    """How repeats of a method are treated: idempotent, deduplicated, non-idempotent (the last two alike)."""
 
     READ_LIKE = 0
     IDEMPOTENCY_KEY = 1
@@ -24,55 +27,58 @@
 
 
 class State(IntEnum):
-    """Of a server; one that is gone has no record."""
+    """The state of a server; a removed server has no record."""
 
     UP = 0
     DRAINING = 1
 
 
 class Record(msgspec.Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
-    """The base of all."""
+    """The base class of all records."""
 
 
 class Method(Record):
-    """Soft deadline and deadline in milliseconds."""
+    """A method of a service, with its soft deadline and deadline in milliseconds."""
 
-    name: Word
+    name: Text
     aim_ms: Amount
     deadline_ms: Amount
     effect: Effect = Effect.READ_LIKE
 
 
 class Service(Record):
+    """A service and its methods."""
+
     methods: tuple[Method, ...]
 
 
 class Server(Record):
-    """`addr` as told, or as a number where it is an IPv4 address; `started_ms` in Unix time, 0: long ago."""
+    """A server of a service. `addr` is HOST:PORT, or a number for an IPv4 address (see `pack_address`); `started_ms` is
+    Unix time in milliseconds, 0 for long ago."""
 
-    addr: int | Word
-    zone: Word
-    kind: Word
+    addr: int | Text
+    zone: Text
+    kind: Text
     cell: Annotated[int, msgspec.Meta(ge=0)]
     state: State
     weight: Amount
     started_ms: Annotated[int, msgspec.Meta(ge=0)]
-    service: Word
+    service: Text
 
 
 class Route(Record):
-    """An RPC to that host, whose path begins so, of that method ("": any), goes to that service."""
+    """RPCs to `host` whose path begins with `prefix` and whose method is `method` ("": any) go to `service`."""
 
-    host: Word
-    prefix: Word
-    service: Word
-    method: Word
+    host: Text
+    prefix: Text
+    service: Text
+    method: Text
 
 
 class Tenant(Record):
-    """Rate in units a second, burst in units; its quota is kept by `spread` gateways from `first` on."""
+    """A tenant's quota: rate in units per second, burst in units; the `spread` gateways from `first` on own it."""
 
-    plan: Word
+    plan: Text
     rate: Amount
     burst: Amount
     first: Annotated[int, msgspec.Meta(ge=0)]
@@ -85,24 +91,26 @@
 
 
 def pack(record: Record) -> bytes:
+    """Encodes a record."""
     return _encoder.encode(record)
 
 
 def unpack(kind: Kind, value: bytes) -> Any:
-    """The record; None where the bytes are none of that kind: a frame is believed only as far as it can be read."""
+    """Decodes a record; None if the bytes are no record of that kind, since values come from the network unchecked."""
     try:
         return _decoders[kind].decode(value)
     except (msgspec.MsgspecError, RecursionError, ValueError, OverflowError):
         return None
 
 
-def parse_amount(told: float) -> int | float:
-    """Whole numbers pack into fewer bytes."""
-    return int(told) if told == int(told) else told
+def parse_amount(number: float) -> int | float:
+    """Converts a whole number to an integer, which packs into fewer bytes; other numbers stay as they are."""
+    return int(number) if number == int(number) else number
 
 
 def pack_address(text: str) -> int | str:
-    """The address's four bytes and the port's two as one number, where that says the same; the text otherwise."""
+    """Packs an IPv4 HOST:PORT into one number, four bytes of address and two of port, if `unpack_address` restores the
+    same text from it; otherwise returns the text."""
     host, _, port = text.rpartition(":")
     try:
         number = int.from_bytes(socket.inet_pton(socket.AF_INET, host), "big") << 16 | int(port)
@@ -111,17 +119,18 @@
     return number if unpack_address(number) == text else text
 
 
-def unpack_address(told: int | str) -> str:
-    """Of what `packed_address` made; empty for any other number."""
-    if isinstance(told, str):
-        return told
-    if not 0 <= told < 1 << 48:
+def unpack_address(packed: int | str) -> str:
+    """Restores HOST:PORT from the result of `pack_address`; empty for a number out of range."""
+    if isinstance(packed, str):
+        return packed
+    if not 0 <= packed < IPV4_ADDRESS_LIMIT:
         return ""
-    return f"{socket.inet_ntop(socket.AF_INET, (told >> 16).to_bytes(4, 'big'))}:{told & 0xFFFF}"
+    host = socket.inet_ntop(socket.AF_INET, (packed >> 16).to_bytes(4, "big"))
+    return f"{host}:{packed & 0xFFFF}"
 
 
 def discovery_row(name: str, value: bytes | None) -> dict[str, Any]:
-    """A server as discovery would tell it; one that is gone, or whose bytes are no server, has state "removed"."""
+    """A server in the form that discovery returns; one without a value, or with an unreadable one, is "removed"."""
     server = unpack(Kind.SERVER, value) if value is not None else None
     if server is None:
         return {"id": name, "state": "removed"}
--- a/oakfork/control/status_text.py
+++ b/oakfork/control/status_text.py
@@ -1,67 +1,89 @@
-"""A status as text, for a terminal."""
+"""Formats a status for a terminal."""
 
 from typing import Any, Mapping, Sequence
 
+UNITS = ((86_400, "d"), (3600, "h"), (60, "min"))  # seconds and symbol
 
-def position(told: Sequence[int]) -> str:
-    """Term and number."""
-    return "{}.{}".format(*told)
 
+def position_text(position: Sequence[int]) -> str:
+    """A position as term and number, separated by a dot."""
+    return "{}.{}".format(*position)
 
-def for_long(ms: int) -> str:
-    seconds = ms / 1000
-    for size, word in ((86_400, "d"), (3600, "h"), (60, "min")):
+
+def duration_text(milliseconds: int) -> str:
+    """A duration in the largest unit of which it has at least two, otherwise in seconds."""
+    seconds = milliseconds / 1000
+    for size, symbol in UNITS:
         if seconds >= 2 * size:
-            return f"{seconds / size:.0f} {word}"
+            return f"{seconds / size:.0f} {symbol}"
     return f"{seconds:.1f} s"
 
 
-def in_force_everywhere(told: Mapping[str, Any], wanted: Sequence[int], followers: int) -> bool:
-    """Whether a position is in force at all of so many, and at the relays between."""
+def in_force_everywhere(status: Mapping[str, Any], position: Sequence[int], followers: int) -> bool:
+    """Whether a position is in force at that many followers and at the relays, and no one is behind."""
     return (
-        told["connected"] >= followers + len(told["relays"])
-        and tuple(told["everywhere_position"]) >= tuple(wanted)
-        and not told["behind"]
+        status["connected"] >= followers + len(status["relays"])
+        and tuple(status["everywhere_position"]) >= tuple(position)
+        and not status["behind"]
     )
 
 
-def text(told: Mapping[str, Any]) -> str:
-    """Of a publisher's status, or a relay's."""
-    lines = [f"{told['who']}: position {position(told['position'])} (term.number)"]
-    if "follows" in told:
-        age = told["age_ms"]
-        lines.append(
-            f"follows {told['follows']}: {told['phase']}, "
-            + ("never heard of a publisher" if age is None else f"as the publisher had it {for_long(age)} ago")
-        )
-    if told["higher_term"]:
-        lines.append(f"OLDER TERM: there is a publisher of term {told['higher_term']}; this one takes no change sets")
-    if told["everywhere"]:
-        lines.append(f"in force at all {told['connected']} that are connected")
+def text(status: Mapping[str, Any]) -> str:
+    """The status of a publisher or a relay, as several lines."""
+    return "\n".join([*_summary_lines(status), *_follower_lines(status), *_count_lines(status)])
+
+
+def _summary_lines(status: Mapping[str, Any]) -> list[str]:
+    lines = [f"{status['who']}: position {position_text(status['position'])} (term.number)"]
+    if "follows" in status:
+        lines.append(f"follows {status['follows']}: {status['phase']}, {_age_text(status['age_ms'])}")
+    if status["higher_term"]:
+        lines.append(f"OLDER TERM: there is a publisher of term {status['higher_term']}; this one takes no change sets")
+    if status["everywhere"]:
+        lines.append(f"in force at all {status['connected']} that are connected")
     else:
         lines.append(
-            f"in force everywhere up to {position(told['everywhere_position'])}; "
-            f"{len(told['behind']) + told['others_behind']} of {told['connected']} are behind"
+            f"in force everywhere up to {position_text(status['everywhere_position'])}; "
+            f"{len(status['behind']) + status['others_behind']} of {status['connected']} are behind"
         )
-    if told.get("queued"):
-        lines.append(f"{told['queued']} change sets wait")
-    lines += [
-        f"  relay   {row['who']}: {position(row['position'])}, reaches {row['reached']}" for row in told["relays"]
+    if status.get("queued"):
+        lines.append(f"{status['queued']} change sets are waiting")
+    return lines
+
+
+def _age_text(age_ms: int | None) -> str:
+    if age_ms is None:
+        return "never heard of a publisher"
+    return f"state as the publisher had it {duration_text(age_ms)} ago"
+
+
+def _follower_lines(status: Mapping[str, Any]) -> list[str]:
+    relays = [
+        f"  relay   {relay['who']}: {position_text(relay['position'])}, reaches {relay['reached']}"
+        for relay in status["relays"]
     ]
-    lines += [
-        f"  behind  {row['who']}: {position(row['position'])}, for {for_long(row['for_ms'])}" for row in told["behind"]
+    behind = [
+        f"  behind  {follower['who']}: {position_text(follower['position'])}, for {duration_text(follower['for_ms'])}"
+        for follower in status["behind"]
     ]
-    lines += [
-        f"  gone    {row['who']}: for {for_long(row['for_ms'])}, followed {row['followed']}" for row in told["gone"]
+    gone = [
+        f"  gone    {follower['who']}: for {duration_text(follower['for_ms'])}, followed {follower['followed']}"
+        for follower in status["gone"]
     ]
-    for key, word in (
+    return relays + behind + gone
+
+
+def _count_lines(status: Mapping[str, Any]) -> list[str]:
+    lines = []
+    for key, description in (
         ("others_behind", "behind"),
         ("others_gone", "gone"),
         ("others_relays", "relays"),
-        ("left_out", "that there was no room to count"),
+        ("left_out", "not counted for lack of room"),
     ):
-        if told[key]:
-            lines.append(f"  and {told[key]} more {word}")
-    if told["counts"]:
-        lines.append("counts: " + ", ".join(f"{reason} {count}" for reason, count in sorted(told["counts"].items())))
-    return "\n".join(lines)
+        if status[key]:
+            lines.append(f"  and {status[key]} more {description}")
+    if status["counts"]:
+        counts = ", ".join(f"{reason} {count}" for reason, count in sorted(status["counts"].items()))
+        lines.append(f"counts: {counts}")
+    return lines
