--- a/tests/test_control_change_schema.py
+++ b/tests/test_control_change_schema.py
@@ -95,7 +95,8 @@
 
 def test_a_change_file_is_submitted_compressed_if_that_is_shorter():
     """Both forms are parsed alike, and a file that is too long in every form is an error."""
-    short, long = json.dumps({"id": "a"}).encode(), json.dumps(CHANGE).encode()
+    short = json.dumps({"id": "a"}).encode()
+    long = json.dumps(CHANGE).encode()
     assert change_schema.submitted(short) == short and len(change_schema.submitted(long)) < len(long)
     assert change_schema.parse(change_schema.submitted(long)) == change_schema.parse(long)
     for data in (
@@ -365,6 +366,7 @@
 
 def test_the_documentation_names_every_counted_reason():
     """docs/control.md explains all counts that an operator may see."""
-    text, found = (ROOT / "docs/control.md").read_text(), counted_reasons()
+    text = (ROOT / "docs/control.md").read_text()
+    found = counted_reasons()
     assert {"digest differs", "no hello", "not stored", "not accepted"} <= found  # the search works
     assert not [reason for reason in found if f"`{reason}`" not in text]
--- a/tests/test_control_database.py
+++ b/tests/test_control_database.py
@@ -79,7 +79,8 @@
 
     def __init__(self, path, **bounds):
         self.database = Database(path, **bounds)
-        self.records, self.number = self.database.loaded.records, self.database.position.number
+        self.records = self.database.loaded.records
+        self.number = self.database.position.number
         self.term = self.database.begin_term()
 
     def commit(self, rows, id=None):
@@ -119,7 +120,8 @@
 
 def test_the_log_and_the_ids_are_bounded_and_compaction_loses_nothing(tmp_path):
     """The log and the ids keep the latest change sets; the snapshot has what earlier ones led to."""
-    rng, publisher = random.Random(1), Publisher(tmp_path / "db", max_log_sets=7, max_ids=9)
+    rng = random.Random(1)
+    publisher = Publisher(tmp_path / "db", max_log_sets=7, max_ids=9)
     for _ in range(60):
         names = rng.sample([f"t{number}" for number in range(12)], 3)
         publisher.commit([Row(Kind.TENANT, name, rng.choice((None, rng.randbytes(5)))) for name in names])
@@ -279,8 +281,10 @@
 @pytest.mark.parametrize("seed", range(40))
 def test_changed_bytes_are_refused_or_have_no_effect(tmp_path, built, seed):
     """A file with random damage either doesn't open or has the state that was stored."""
-    rng, path = random.Random(seed), tmp_path / "db"
-    data, expected = bytearray(built[0]), built[1]
+    rng = random.Random(seed)
+    path = tmp_path / "db"
+    data = bytearray(built[0])
+    expected = built[1]
     if seed % 4 == 0:
         del data[rng.randrange(len(data)) :]
     else:
@@ -291,7 +295,8 @@
         database = Database(path)
     except DatabaseError:
         return
-    loaded, empty = state(database.loaded.records), not data
+    loaded = state(database.loaded.records)
+    empty = not data
     database.close()
     assert loaded == ({} if empty else expected)
 
@@ -299,7 +304,9 @@
 @pytest.mark.parametrize("seed", range(6))
 def test_a_kill_leaves_whole_change_sets_with_all_acknowledged_ones(tmp_path, seed):
     """SIGKILL at random moments of commits and compactions, repeatedly with the same database."""
-    rng, path, acknowledged = random.Random(seed), tmp_path / "db", 0
+    rng = random.Random(seed)
+    path = tmp_path / "db"
+    acknowledged = 0
     for _ in range(3):
         process = subprocess.Popen(
             [sys.executable, "-c", COMMITTING_PROCESS, str(path)], stdout=subprocess.PIPE, text=True, cwd=ROOT
--- a/tests/test_control_follower.py
+++ b/tests/test_control_follower.py
@@ -38,7 +38,8 @@
 def test_a_delta_is_applied_with_its_last_frame_only():
     """A Delta of several frames is never partly in force."""
     upstream = ScriptedUpstream([], Position(1, 4)).welcome(Position(1, 5))
-    first, second = put("a", b"1"), put("b", b"2")
+    first = put("a", b"1")
+    second = put("b", b"2")
     digest = digest_with(upstream.store, first, second)
     upstream.send(upstream.delta(Position(1, 4), Position(1, 5), first, more=True, digest=digest))
     assert upstream.received[-1] == Ack(Position(1, 4), 0)
@@ -50,7 +51,8 @@
 def test_frames_of_a_lost_connection_are_discarded():
     """The rest of a Delta on another connection isn't combined with its beginning on a lost one."""
     upstream = ScriptedUpstream([], Position(1, 4)).welcome(Position(1, 5))
-    first, second = put("a", b"1"), put("b", b"2")
+    first = put("a", b"1")
+    second = put("b", b"2")
     digest = digest_with(upstream.store, first, second)
     upstream.send(upstream.delta(Position(1, 4), Position(1, 5), first, more=True, digest=digest))
     upstream.deliver(Disconnected(upstream.machine.link))
--- a/tests/test_control_services.py
+++ b/tests/test_control_services.py
@@ -61,7 +61,8 @@
     """A server that moves to another service is removed; an exception on a hand-over costs only those servers."""
 
     async def scenario(tier):
-        of_service, slices = [], []
+        of_service = []
+        slices = []
 
         def fail_once(rows):
             slices.append(rows)
@@ -72,7 +73,8 @@
             tier.nursery.start_soon(agents.Agent(f"g{number}", tier.relay_addresses, number, LOG, receive, service).run)
         await tier.publish(trial.EXAMPLE)
         await until(lambda: len(of_service) == 4 and slices)
-        service, server = trial.EXAMPLE["put"]["services"][0], trial.EXAMPLE["put"]["servers"][0]
+        service = trial.EXAMPLE["put"]["services"][0]
+        server = trial.EXAMPLE["put"]["servers"][0]
         await tier.publish(
             {
                 "id": "moved",
@@ -182,7 +184,8 @@
     """Storing is tried twice before the change set is refused."""
 
     async def scenario(tier):
-        calls, commit = [], tier.database.commit
+        calls = []
+        commit = tier.database.commit
 
         def fail(*_):
             calls.append(1)
@@ -212,7 +215,8 @@
         def fail(*_):
             raise DatabaseError("no room on the disk")
 
-        tier.database.commit, results = commit_slowly, []
+        tier.database.commit = commit_slowly
+        results = []
         if fails:
             tier.database.uncommit = fail
 
@@ -243,11 +247,13 @@
     """A publisher asks others for their terms, so it notices without any follower in common."""
 
     async def scenario(tier):
-        database, listener = Database(tmp_path / "later"), listen(LOOPBACK)
+        database = Database(tmp_path / "later")
+        listener = listen(LOOPBACK)
         config = publisher_config("q", above_term=4, others=(tier.publisher_address,))
         later = publisher_engine(config, database, LOG)
         tier.run("q", later.run, listener)
-        older_database, older_listener = Database(tmp_path / "older"), listen(LOOPBACK)
+        older_database = Database(tmp_path / "older")
+        older_listener = listen(LOOPBACK)
         older = publisher_engine(replace(config, above_term=0, others=(address_of(listener),)), older_database, LOG)
         tier.run("o", older.run, older_listener)
         await until(lambda: older.machine.follower_server.higher_term)
--- a/tests/test_control_state.py
+++ b/tests/test_control_state.py
@@ -63,7 +63,8 @@
 @given(st.lists(st.tuples(CHANGES, st.integers(0, 9)), max_size=6))
 def test_commits_and_compactions_match_a_dictionary(commits):
     """Look-ups and digests are right after each commit, before and after a partial compaction."""
-    store, expected = Records(), {}
+    store = Records()
+    expected = {}
     for changes, compacted in commits:
         store.commit(changes, updated_sums(store, changes))
         expected = apply(expected, changes)
@@ -89,7 +90,8 @@
 
 def test_a_partial_compaction_says_whether_records_are_left():
     """Compaction by slices ends, and can be repeated afterwards."""
-    store, changes = Records(), {(Kind.SERVER, name): b"v" for name in NAMES}
+    store = Records()
+    changes = {(Kind.SERVER, name): b"v" for name in NAMES}
     store.commit(changes, updated_sums(store, changes))
     assert [store.compact(5), store.compact(5), store.compact(5), store.compact(5)] == [True, True, False, False]
 
@@ -102,7 +104,9 @@
 def test_staged_changes_lead_to_exactly_the_expected_state(first, frames):
     """The store doesn't change while rows are staged, and the difference has only real changes."""
     store = filled(as_rows(apply({}, first)))
-    before, staged, expected = records_of(store), Staged(store), records_of(store)
+    before = records_of(store)
+    staged = Staged(store)
+    expected = records_of(store)
     for changes in frames:
         assert run_slices(staged.take(as_rows(changes)))[0]
         expected = apply(expected, changes)
@@ -172,7 +176,8 @@
 @given(st.lists(CHANGES, max_size=12), st.integers(1, 30), st.integers(2, 8))
 def test_merged_changes_lead_from_each_known_position_to_the_newest(change_sets, max_rows, max_sets):
     """The history stays within its bounds and knows exactly the positions from the oldest on."""
-    history, states = History(Position(1, 0), 0, max_rows, max_sets), [{}]
+    history = History(Position(1, 0), 0, max_rows, max_sets)
+    states = [{}]
     for number, changes in enumerate(change_sets, 1):
         history.add(Position(1, number - 1), Position(1, number), changes, number)
         states.append(apply(states[-1], changes))
@@ -210,7 +215,9 @@
         {(Kind.ROUTE, f"é{number}"): bytes(4000) for number in range(50)},
         {},
     ):
-        encoded, rows, number = EncodedChange(Position(1, 1), Position(1, 2), 7, changes), [], 0
+        encoded = EncodedChange(Position(1, 1), Position(1, 2), 7, changes)
+        rows = []
+        number = 0
         while True:
             frame = encoded.frame(number)
             delta = unpack_down(frame)
@@ -272,7 +279,8 @@
 
 def test_frames_of_the_other_direction_too_long_or_malformed_are_refused():
     """Messages are decoded only in their own direction, completely, and up to LARGEST_FRAME bytes."""
-    up, down = pack(messages.Ack(Position(1, 2), 3)), pack(messages.Heartbeat(Position(1, 2), 3))
+    up = pack(messages.Ack(Position(1, 2), 3))
+    down = pack(messages.Heartbeat(Position(1, 2), 3))
     assert unpack_up(up) == messages.Ack(Position(1, 2), 3)
     assert unpack_down(down) == messages.Heartbeat(Position(1, 2), 3)
     assert unpack_up(down) is None and unpack_down(up) is None
