--- a/oakfork/__main__.py
+++ b/oakfork/__main__.py
@@ -1,4 +1,7 @@
-"""One real gateway where nothing else is said, python -m oakfork; a sub-command otherwise."""
+"""`python -m oakfork`: serves as a gateway without arguments, and runs the command line with them.
+
+The handlers of early signals are installed before the gateway is imported.
+"""
 
 import sys
 
--- a/oakfork/configuration_schema.py
+++ b/oakfork/configuration_schema.py
@@ -1,8 +1,7 @@
-"""The operators' configuration format as a JSON Schema: the one source for the check and for docs/configuration.md.
+"""The format of a gateway's configuration as a JSON Schema, the one source for the checks and docs/configuration.md.
 
-Imported by `oakfork check`, by `oakfork serve` before it serves, and, to name what is wrong, once a configuration
-could not be read; never by `python -m oakfork` alone on the way to serving. Unknown keys are allowed: the platform
-adds some.
+Imported by `oakfork check`, by `oakfork serve` before it serves, and, to name what is wrong, once a configuration could
+not be read; never by `python -m oakfork` alone on the way to serving. Unknown keys are allowed: the platform adds some.
 """
 
 import math
@@ -15,158 +14,164 @@
 ADDRESS = {"type": "string", "pattern": r"^[^\s:]+:\d{1,5}$"}
 
 
-def _a(kind: str, text: str, **more: Any) -> dict[str, Any]:
-    return {"type": kind, "description": text} | more
+def _value(kind: str, text: str, **constraints: Any) -> dict[str, Any]:
+    return {"type": kind, "description": text} | constraints
 
 
 def _address(text: str) -> dict[str, Any]:
     return ADDRESS | {"description": text}
 
 
-def _table(text: str, properties: dict[str, Any], *required: str) -> dict[str, Any]:
+def _object(text: str, properties: dict[str, Any], *required: str) -> dict[str, Any]:
     return {"type": "object", "description": text, "properties": properties, "required": list(required)}
 
 
-def _number(text: str, **more: Any) -> dict[str, Any]:
-    return _a("number", text, minimum=0, **more)
+def _number(text: str, **constraints: Any) -> dict[str, Any]:
+    return _value("number", text, minimum=0, **constraints)
 
 
-SERVER = _table(
+SERVER = _object(
     "a server",
     {
-        "id": _a("string", "the same at every gateway", minLength=1),
+        "id": _value("string", "its id, the same at every gateway", minLength=1),
         "addr": _address("where it listens"),
-        "zone": _a("string", "its zone"),
-        "kind": _a("string", "its kind of machine"),
-        "cell": _a("integer", "the group that drops a repeat"),
-        "state": {"enum": ["up", "draining", "removed"], "description": "draining: nothing new goes to it"},
+        "zone": _value("string", "its zone"),
+        "kind": _value("string", "its kind of machine"),
+        "cell": _value("integer", "the group of servers that drop a repeat together"),
+        "state": {"enum": ["up", "draining", "removed"], "description": "draining: it gets no new RPCs"},
         "weight": _number("its registered size"),
-        "started_ms": _number("when it last started, as Unix time in milliseconds; 0: long ago"),
+        "started_ms": _number("when it last started, as Unix time in ms; 0: long ago"),
     },
     "id",
     "state",
 )
-METHOD = _table(
+METHOD = _object(
     "a method",
     {
-        "name": _a("string", "as X-Lane names it", minLength=1),
-        "aim-ms": _number("soft deadline"),
-        "deadline-ms": _number("deadline"),
+        "name": _value("string", "its name in X-Lane", minLength=1),
+        "aim-ms": _number("soft deadline, ms"),
+        "deadline-ms": _number("deadline, ms"),
         "effect": {
             "enum": ["read_like", "idempotency_key", "non_idempotent", "unsafe"],
-            "description": "idempotent, deduplicated, non-idempotent (both of the last)",
+            "description": "idempotent, deduplicated, non-idempotent (the last two)",
         },
         "group": {"enum": ["all", "zone", "cell"], "description": "the servers that drop a repeat"},
-        "key-ttl-ms": _number("for how long they drop it"),
-        "value": _number("utility"),
-        "late-worth": _number("part of the utility after the soft deadline", maximum=1),
-        "streamed": _a("boolean", "answers come as streams"),
+        "key-ttl-ms": _number("how long they drop it, ms"),
+        "value": _number("utility of an answer within the soft deadline"),
+        "late-worth": _number("fraction of the utility after the soft deadline", maximum=1),
+        "streamed": _value("boolean", "its answers are streams"),
     },
     "name",
     "aim-ms",
     "deadline-ms",
 )
-PLAN = _table(
+PLAN = _object(
     "a plan",
     {
-        "name": _a("string", "as X-Tier names it", minLength=1),
-        "refill": _number("units a second of a customer's quota; 0: none"),
-        "peak-units": _number("units at once"),
-        "concurrency": _a("integer", "call-outs out at once; 0: any", minimum=0),
-        "never-over-rate": _number("units a second of the hard ceiling; 0: none"),
-        "ceiling-burst": _number("units of the ceiling at once"),
-        "cap-slack": _number("units by which it may be passed"),
-        "value-factor": _number("factor on utility"),
-        "over-worth": _number("utility beyond the quota"),
-        "beyond-costs": _number("cost beyond the quota"),
+        "name": _value("string", "its name in X-Tier", minLength=1),
+        "refill": _number("units a second of a customer's quota; 0: no quota"),
+        "peak-units": _number("burst of the quota, units"),
+        "concurrency": _value("integer", "open call-outs of a customer; 0: any number", minimum=0),
+        "never-over-rate": _number("units a second of the hard ceiling; 0: no ceiling"),
+        "ceiling-burst": _number("burst of the ceiling, units"),
+        "cap-slack": _number("units by which the ceiling may be exceeded"),
+        "value-factor": _number("factor of the utility"),
+        "over-worth": _number("utility of an RPC beyond the quota"),
+        "beyond-costs": _number("cost of an RPC beyond the quota"),
     },
     "name",
 )
-SETTINGS = _table(
+SETTINGS = _object(
     "the settings of the deployment",
     {
-        "balancers": _a("integer", "gateways in the tier", minimum=1),
-        "index": _a("integer", "this one's", minimum=0),
-        "zones": _a("array", "their names", items={"type": "string"}),
-        "zone": _a("integer", "this one's", minimum=0),
-        "tick-ms": _number("the grain of timers"),
-        "discovery": {"enum": ["automatic", "subscribe"], "description": "whether changes come by themselves"},
-        "classes": _a("array", "the methods", items=METHOD, minItems=1),
-        "tiers-of-service": _a("array", "the plans", items=PLAN, minItems=1),
-        "limits": _table(
+        "balancers": _value("integer", "gateways in the tier", minimum=1),
+        "index": _value("integer", "index of this gateway", minimum=0),
+        "zones": _value("array", "names of the zones", items={"type": "string"}),
+        "zone": _value("integer", "index of this gateway's zone", minimum=0),
+        "tick-ms": _number("resolution of timers, ms"),
+        "discovery": {
+            "enum": ["automatic", "subscribe"],
+            "description": "whether changes of the server list come unasked",
+        },
+        "classes": _value("array", "the methods", items=METHOD, minItems=1),
+        "tiers-of-service": _value("array", "the plans", items=PLAN, minItems=1),
+        "limits": _object(
             "what the platform allows",
             {
-                "attempts-cap": _a("integer", "call-outs for an RPC", minimum=1),
-                "cancel": _a("boolean", "call-outs may be given up"),
-                "parallel-tries": _a("boolean", "second copies"),
-                "retry-after": _a("boolean", "pushbacks carry an advice"),
-                "probing": _a("boolean", "servers may be probed"),
-                "peers": _a("boolean", "gateways may talk"),
-                "conn-idle-ms": _number("servers close connections idle for so long"),
-                "connect-timeout-ms": _number("patience for a connection"),
+                "attempts-cap": _value("integer", "call-outs of an RPC", minimum=1),
+                "cancel": _value("boolean", "call-outs may be cancelled"),
+                "parallel-tries": _value("boolean", "a second copy of an RPC may be sent"),
+                "retry-after": _value("boolean", "pushbacks have a Retry-After"),
+                "probing": _value("boolean", "servers may be probed"),
+                "peers": _value("boolean", "gateways may exchange frames"),
+                "conn-idle-ms": _number("servers close connections that have been idle so long, ms"),
+                "connect-timeout-ms": _number("timeout of a connection, ms"),
             },
         ),
-        "specifics": _table(
-            "of this kind of service",
+        "specifics": _object(
+            "settings of this kind of service",
             {
-                "mail-per-s": _number("frames that a gateway takes in"),
-                "units-top": _number("most units of an RPC"),
-                "shared-counter": _a("boolean", "there is a counter"),
-                "count-limit-ms": _number("patience for it"),
-                "settles": _a("boolean", "true units come with the answer"),
+                "mail-per-s": _number("frames a second that a gateway accepts"),
+                "units-top": _number("maximum of units of an RPC"),
+                "shared-counter": _value("boolean", "there is a shared counter"),
+                "count-limit-ms": _number("timeout of a call to the counter, ms"),
+                "settles": _value("boolean", "answers report the true units"),
             },
         ),
-        "invariants": _table(
-            "figures of the rules",
+        "invariants": _object(
+            "parameters of the rules",
             {
-                "stop-sending-within-ms": _number("drains"),
-                "cold-share": _number("a server starts at", maximum=1),
-                "cold-ms": _number("and is warm after"),
-                "fall-multiple": _number("sent more, it falls"),
-                "fall-ms": _number("the time over which that counts"),
-                "ask-within-ms": _number("patience for asked lists"),
+                "stop-sending-within-ms": _number("time after which a draining server gets nothing new, ms"),
+                "cold-share": _number("fraction of its capacity that a server has at its start", maximum=1),
+                "cold-ms": _number("time until it is warm, ms"),
+                "fall-multiple": _number("multiple of its capacity over which a cold server fails"),
+                "fall-ms": _number("time over which that counts, ms"),
+                "ask-within-ms": _number("timeout of lists on request, ms"),
             },
         ),
-        "tariffs": _table(
-            "prices, as parts of all utility",
-            {"probe": _number("of one probe for each RPC"), "handshake": _number("of one new connection for each RPC")},
+        "tariffs": _object(
+            "prices, as fractions of all utility",
+            {
+                "probe": _number("price of one probe for each RPC"),
+                "handshake": _number("price of one new connection for each RPC"),
+            },
         ),
-        "stats": _table(
+        "stats": _object(
             "load reports",
             {
-                "how": {"enum": ["inline", "on_probe", "off"], "description": "where they come"},
-                "names": _a("array", "their values", items={"type": "string"}, maxItems=4),
+                "how": {"enum": ["inline", "on_probe", "off"], "description": "where servers report their load"},
+                "names": _value("array", "names of the values", items={"type": "string"}, maxItems=4),
             },
         ),
     },
     "classes",
     "tiers-of-service",
 )
-SCHEMA = {"$schema": "https://json-schema.org/draft/2020-12/schema"} | _table(
-    "what a gateway is told",
+SCHEMA = {"$schema": "https://json-schema.org/draft/2020-12/schema"} | _object(
+    "the configuration of a gateway",
     {
-        "name": _a("string", "its name in the log"),
-        "listen": _address("where clients connect"),
-        "discovery": _address("the agent that tells the servers"),
+        "name": _value("string", "name of the gateway in its log"),
+        "listen": _address("address for clients"),
+        "discovery": _address("the discovery agent"),
         "counter": _address("the shared counter"),
-        "peer_listen": _address("where datagrams of peers come"),
-        "peers": _a("array", "every gateway of the tier, in order", items=ADDRESS),
-        "peers_all": _address("all of them at once"),
-        "seed": _a("string", "for chance, in hex", pattern="^[0-9a-fA-F]{1,16}$"),
-        "limits": _table(
-            "of this process",
+        "peer_listen": _address("address for datagrams of peers"),
+        "peers": _value("array", "all gateways of the tier, by index", items=ADDRESS),
+        "peers_all": _address("address that reaches all of them"),
+        "seed": _value("string", "seed of random numbers, in hex", pattern="^[0-9a-fA-F]{1,16}$"),
+        "limits": _object(
+            "limits of this process",
             {
-                "cores": _number("part of a core"),
-                "memory_mb": _number("over it the gateway is killed", exclusiveMinimum=0),
-                "sockets": _a("integer", "descriptors", minimum=64),
+                "cores": _number("processor cores; may be a fraction"),
+                "memory_mb": _number("memory, MB; above it the gateway is killed", exclusiveMinimum=0),
+                "sockets": _value("integer", "file descriptors", minimum=64),
             },
         ),
-        "known": _table(
-            "the servers as last known",
+        "known": _object(
+            "the last known list of servers",
             {
-                "version": _a("integer", "of the list"),
-                "full": _a("boolean", "whether it is whole"),
-                "servers": _a("array", "the servers", items=SERVER),
+                "version": _value("integer", "version of the list"),
+                "full": _value("boolean", "whether the list is complete"),
+                "servers": _value("array", "the servers", items=SERVER),
             },
         ),
         "settings": SETTINGS,
@@ -177,66 +182,73 @@
 )
 
 
-def read_toml(path: str | Path, largest: int, refuse: type[FileError]) -> tuple[dict[str, Any], bytes]:
-    """What a TOML file says, and its bytes, at most `largest`; raises `refuse` where it can't be read."""
+def read_toml(path: str | Path, max_bytes: int, error_type: type[FileError]) -> tuple[dict[str, Any], bytes]:
+    """The document of a TOML file and its bytes, `max_bytes` at most; raises an `error_type` if it can't be read."""
     try:
         with open(path, "rb") as file:
-            text = file.read(largest + 1)
-        if len(text) > largest:
-            raise refuse([f"the file: over {largest} bytes"])
+            text = file.read(max_bytes + 1)
+        if len(text) > max_bytes:
+            raise error_type([f"the file: over {max_bytes} bytes"])
         return tomllib.loads(text.decode()), text
     except (OSError, UnicodeDecodeError, tomllib.TOMLDecodeError, RecursionError) as error:
-        raise refuse([f"the file: {error}"]) from None
+        raise error_type([f"the file: {error}"]) from None
 
 
-def place(path: Iterable[str | int]) -> str:
+def path_text(path: Iterable[str | int]) -> str:
+    """A place in a document as faults name it, such as 'settings.classes[1].name'."""
     return "".join(f"[{part}]" if isinstance(part, int) else f".{part}" for part in path).lstrip(".") or "the file"
 
 
-def against(schema: dict[str, Any], told: Any) -> list[str]:
-    """All that a schema finds wrong, each by its path; and numbers that are none, which compare with nothing."""
+def against(schema: dict[str, Any], document: Any) -> list[str]:
+    """All faults that a schema finds in a document, each by its path.
+
+    NaN and infinite numbers are faults too: they pass the bounds of a schema, since NaN compares with nothing.
+    """
     from jsonschema import Draft202012Validator
 
-    errors = sorted(Draft202012Validator(schema).iter_errors(told), key=lambda error: list(map(str, error.path)))
-    return [f"{place(error.absolute_path)}: {error.message[:200]}" for error in errors] + _no_numbers(told, ())
-
-
-def _no_numbers(told: Any, path: tuple[str | int, ...]) -> list[str]:
-    if isinstance(told, dict | list):
-        items = told.items() if isinstance(told, dict) else enumerate(told)
-        return [fault for key, part in items for fault in _no_numbers(part, (*path, key))]
-    return [f"{place(path)}: {told} is not a number"] if isinstance(told, float) and not math.isfinite(told) else []
-
-
-def faults_in(told: Any) -> list[str]:
-    """All that is wrong, each by its path in the file."""
-    found = against(SCHEMA, told)
-    if not found:
-        found += _contradictions(told)
-    return found
-
-
-def _contradictions(told: dict[str, Any]) -> list[str]:
-    found, settings = [], told["settings"]
-    if settings.get("index", 0) >= settings.get("balancers", 1):
-        found.append("settings.index: not below balancers")
-    if told.get("peers") and len(told["peers"]) != settings.get("balancers", 1):
-        found.append(f"peers: {len(told['peers'])} addresses for {settings.get('balancers', 1)} gateways")
-    for number, row in enumerate(settings["classes"]):
-        if row["aim-ms"] > row["deadline-ms"]:
-            found.append(f"settings.classes[{number}].aim-ms: beyond the deadline")
-    for number, row in enumerate(settings["tiers-of-service"]):
-        if row.get("never-over-rate") and row["never-over-rate"] < row.get("refill", 0):
-            found.append(f"settings.tiers-of-service[{number}].never-over-rate: below the quota's rate")
+    errors = sorted(Draft202012Validator(schema).iter_errors(document), key=lambda error: list(map(str, error.path)))
+    faults = [f"{path_text(error.absolute_path)}: {error.message[:200]}" for error in errors]
+    return faults + _not_finite(document, ())
+
+
+def _not_finite(part: Any, path: tuple[str | int, ...]) -> list[str]:
+    if isinstance(part, dict | list):
+        items = part.items() if isinstance(part, dict) else enumerate(part)
+        return [fault for key, item in items for fault in _not_finite(item, (*path, key))]
+    if isinstance(part, float) and not math.isfinite(part):
+        return [f"{path_text(path)}: {part} is not a number"]
+    return []
+
+
+def faults_in(document: Any) -> list[str]:
+    """All faults of a gateway's configuration, each by its path in the file."""
+    return against(SCHEMA, document) or _contradictions(document)
+
+
+def _contradictions(document: dict[str, Any]) -> list[str]:
+    """Faults between several values, in a document that the schema accepts."""
+    settings = document["settings"]
+    gateways = settings.get("balancers", 1)
+    faults = []
+    if settings.get("index", 0) >= gateways:
+        faults.append("settings.index: not below balancers")
+    if document.get("peers") and len(document["peers"]) != gateways:
+        faults.append(f"peers: {len(document['peers'])} addresses for {gateways} gateways")
+    for index, method in enumerate(settings["classes"]):
+        if method["aim-ms"] > method["deadline-ms"]:
+            faults.append(f"settings.classes[{index}].aim-ms: beyond the deadline")
+    for index, plan in enumerate(settings["tiers-of-service"]):
+        if plan.get("never-over-rate") and plan["never-over-rate"] < plan.get("refill", 0):
+            faults.append(f"settings.tiers-of-service[{index}].never-over-rate: below the quota's rate")
     for key in ("classes", "tiers-of-service"):
         names = [row["name"] for row in settings[key]]
-        twice = [name for name in dict.fromkeys(names) if names.count(name) > 1]
-        found += [f"settings.{key}: {name!r} stands there twice" for name in twice]
-    return found
+        duplicates = [name for name in dict.fromkeys(names) if names.count(name) > 1]
+        faults += [f"settings.{key}: {name!r} stands there twice" for name in duplicates]
+    return faults
 
 
 def table(schema: dict[str, Any] = SCHEMA, path: str = "") -> list[tuple[str, str, str]]:
-    """Path, type and meaning of every key, for the docs."""
+    """Path, type and meaning of every key, for the documentation."""
     rows = []
     for key, part in schema.get("properties", {}).items():
         place = f"{path}.{key}".lstrip(".")
--- a/oakfork/early_signals.py
+++ b/oakfork/early_signals.py
@@ -1,36 +1,45 @@
-"""Signals that come before the gateway can heed them, or when it no longer does. Imports little, so that it is in
-place before anything large is loaded: earlier than that, while Python itself starts, SIGHUP still ends the process."""
+"""Handles signals that come before the gateway can handle them, or when it no longer does.
+
+It imports little, so that the handlers are installed before anything large is loaded. Earlier than that, while Python
+itself starts, SIGHUP still ends the process.
+"""
 
 import os
 import signal
 from types import FrameType
 
-pending_hangups: list[int] = []  # SIGHUPs that came early; emptied by taken
+pending_hangups: list[int] = []  # SIGHUPs that came before the gateway handles them; cleared by take_pending_hangup
 
 
 def install_handlers() -> None:
-    """SIGHUP is noted, and SIGTERM ends a process that has taken nothing yet, or has answered all, with 0."""
-    signal.signal(signal.SIGHUP, _note)
-    signal.signal(signal.SIGTERM, _end)
+    """Records SIGHUP for later, and lets SIGTERM end the process with status 0.
+
+    SIGTERM may end it so because nothing has been accepted yet, or everything has been answered.
+    """
+    signal.signal(signal.SIGHUP, _record_hangup)
+    signal.signal(signal.SIGTERM, _exit)
 
 
 def ignore_signals() -> None:
-    """All is answered. Python's end would give both signals back to the system: one would end it with its status."""
+    """Ignores SIGHUP and SIGTERM once everything is answered.
+
+    When Python ends it restores the default handlers, and a signal would end the process with its own status.
+    """
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     signal.signal(signal.SIGTERM, signal.SIG_IGN)
 
 
 def take_pending_hangup() -> bool:
-    """Whether a SIGHUP came meanwhile; it counts as heeded from here on."""
-    came = bool(pending_hangups)
+    """Whether a SIGHUP was recorded; it counts as handled from here on."""
+    pending = bool(pending_hangups)
     pending_hangups.clear()
-    return came
+    return pending
 
 
-def _note(number: int, frame: FrameType | None) -> None:
+def _record_hangup(number: int, frame: FrameType | None) -> None:
     if not pending_hangups:
         pending_hangups.append(number)
 
 
-def _end(number: int, frame: FrameType | None) -> None:
+def _exit(number: int, frame: FrameType | None) -> None:
     os._exit(0)
--- a/oakfork/errors.py
+++ b/oakfork/errors.py
@@ -1,15 +1,20 @@
-"""Everything that the program raises by itself, in one hierarchy: each type says what an operator can do about it.
+"""The errors that the program raises itself, in one hierarchy; each type says what an operator can do about it.
 
-The log line (`told`), the command line and the table in docs/oncall.md take that text from here.
+Log lines (`log_fields`), the command line (`error_lines`) and the table in docs/oncall.md (`table`) take that text from
+here. The docstring of a type, which is one line, says in that table what the error means.
 """
 
 from typing import Any, ClassVar
 
-EXIT_FAILURE, EXIT_USAGE = 1, 2  # exit codes: it went wrong while running; the user's mistake
+EXIT_FAILURE = 1  # exit code: the command failed while it ran
+EXIT_USAGE = 2  # exit code: the command line or a file that it names can't be used
 
 
 class OakforkError(Exception):
-    """`todo`: what an operator can do, in one sentence. `status`: the exit code where it ends a command."""
+    """The base of all errors.
+
+    `todo` says in one sentence what an operator can do, and `status` is the exit code of a command that it ends.
+    """
 
     todo: ClassVar[str] = ""
     status: ClassVar[int] = EXIT_FAILURE
@@ -23,13 +28,13 @@
 
 
 class AddressInUseError(OakforkError):
-    """An address of the gateway's own can't be had."""
+    """An address that the program listens on is not available."""
 
-    todo = "end the program that has the address, or name another one in the configuration"
+    todo = "end the program that uses the address, or name another one in the configuration"
 
 
 class FileError(OakforkError):
-    """A file is not usable; `faults` names each place in it and what is wrong there."""
+    """A file is not usable; `faults` says for each place in it what is wrong there."""
 
     todo = "correct what is named in the file"
     status = EXIT_USAGE
@@ -40,7 +45,7 @@
 
 
 class ExperimentError(FileError):
-    """An experiment file is not usable; each line names a place in it and what is wrong there."""
+    """An experiment file is not usable; each line says for a place in it what is wrong there."""
 
     todo = "correct what is named in the experiment file; docs/lab.md has all its keys"
 
@@ -52,16 +57,16 @@
 
 
 class LoadSettingsError(OakforkError):
-    """A load that is not sent."""
+    """The settings of a load generator are not usable; nothing was sent."""
 
     todo = "name gateways by loopback addresses, HOST:PORT, and a load within the bounds of docs/lab.md"
     status = EXIT_USAGE
 
 
 class ContractsFileError(FileError):
-    """The book of contracts is not usable, or reserves more than the sites can do with the largest one lost."""
+    """The contracts file is not usable, or reserves more than the sites can serve without the largest one."""
 
-    todo = "correct the contracts that are named, or give the sites more; `oakfork contracts check FILE` tries the book"
+    todo = "correct the contracts that are named, or add capacity; `oakfork contracts check FILE` tries the file"
 
 
 class ControlConfigError(FileError):
@@ -71,57 +76,57 @@
 
 
 class ChangeSetError(FileError):
-    """A change set is refused whole: nothing of it is in force."""
+    """A change set was refused as a whole; no part of it is in force."""
 
     todo = "correct what is named in the change file, or publish what it needs first; docs/control.md has the keys"
 
 
 class DatabaseError(OakforkError):
-    """The publisher's database is not its own, is damaged, or is another publisher's now; nothing in it was changed."""
+    """The database is another publisher's, is damaged, or is in use by another publisher; it was not changed."""
 
-    todo = "name the publisher's own database, end the other one that has it, or go back to a copy; docs/control.md"
+    todo = "name the publisher's own database, end the other process that uses it, or restore a copy; docs/control.md"
 
 
 class PublisherTimeoutError(OakforkError):
-    """The publisher did not answer: whether a change set is in force is not known."""
+    """The publisher did not answer in time; whether the change set is in force is not known."""
 
-    todo = "look whether the publisher runs and can be reached, and give the same file again: it counts once"
+    todo = "check that the publisher runs and can be reached, and publish the same file again: it is applied once"
 
 
 class MeasurementError(OakforkError, ValueError):
-    """A measure of costs by size, or the page of them, can't be made of what there is."""
+    """A measurement of costs by size, or the page of all measurements, can't be made from the results at hand."""
 
-    todo = "measure again what it names, by `oakfork lab scale GROUP`; docs/CAPACITY.md has the markers of its tables"
+    todo = "repeat the measurement that it names, by `oakfork lab scale GROUP`; docs/CAPACITY.md marks its tables"
 
 
 class DrillProcessError(OakforkError):
-    """The processes of a drill did not start or did not end as they should."""
+    """The processes of a drill did not start or end as expected."""
 
-    todo = "look at the last lines of the process's log that it names; free ports and memory for that many processes"
+    todo = "read the last lines of the log that it names; free ports and memory for that many processes"
 
 
 class SimulatorProtocolError(OakforkError):
-    """What came on the simulator's wire can't be read."""
+    """A message of the simulator can't be decoded."""
 
-    todo = "report the line: the simulator and the adapter do not agree on the wire"
+    todo = "report the line: the simulator and the adapter do not agree on the protocol"
 
 
 class UnknownCommandError(OakforkError):
-    """The module told the adapter something that has no record on the wire."""
+    """The decision module gave a command that the simulator's protocol does not have."""
 
-    todo = "report the line: the module and the adapter are of two versions"
+    todo = "report the line: the decision module and the adapter are of different versions"
 
 
 class BadRequestError(OakforkError):
-    """A client's request is not one of the protocol; the text tells why. It is answered 400."""
+    """A client's request breaks the protocol, as the text says; it is answered with status 400."""
 
-    todo = "talk to the client: the answer's body says what is wrong with its request"
+    todo = "contact the client: the answer's body says what is wrong with its request"
 
 
 class ConnectionFailedError(OakforkError):
     """A connection can't be used any more; `outcome` says how it ended."""
 
-    todo = "look at the party at the other end of that connection: the ending's name says what it did"
+    todo = "look at the service at the other end of the connection: the name of the outcome says what it did"
 
     def __init__(self, outcome: Any) -> None:
         super().__init__(outcome.name)
@@ -129,29 +134,39 @@
 
 
 def log_fields(error: OakforkError) -> dict[str, str]:
-    """The fields of a log line on an error."""
+    """The fields of a log line about an error."""
     return {"error": str(error), "todo": error.todo}
 
 
 def error_lines(error: OakforkError, where: str = "", faults: list[str] | None = None) -> str:
-    """What a command prints: a line a fault, and what to do behind the only one or on a line of its own."""
-    said = [f"{where}: {fault}" if where else fault for fault in faults or getattr(error, "faults", [str(error)])]
-    return f"{said[0]}; {error.todo}" if len(said) == 1 else "\n".join([*said, error.todo])
+    """What a command prints: one line for each fault, then what to do, on the same line if there is only one fault.
+
+    `where` is put before each fault. The faults are those given, the error's own, or else its text.
+    """
+    found = faults or getattr(error, "faults", [str(error)])
+    lines = [f"{where}: {fault}" if where else fault for fault in found]
+    if len(lines) == 1:
+        return f"{lines[0]}; {error.todo}"
+    return "\n".join([*lines, error.todo])
 
 
 def all_errors(of: type[OakforkError] = OakforkError) -> list[type[OakforkError]]:
-    """Every type below `of`, as far as its module has been imported, by name."""
-    below = {sub for kind in of.__subclasses__() for sub in (kind, *all_errors(kind))}
-    return sorted(below, key=lambda kind: kind.__name__)
+    """All subclasses of a type whose modules have been imported, sorted by name."""
+    subclasses = {sub for kind in of.__subclasses__() for sub in (kind, *all_errors(kind))}
+    return sorted(subclasses, key=lambda kind: kind.__name__)
+
+
+def _meaning(kind: type[OakforkError]) -> str:
+    return (kind.__doc__ or "").strip()
 
 
 def table() -> str:
-    """The rows of docs/oncall.md."""
-    rows = [f"| `{kind.__name__}` | {(kind.__doc__ or '').strip()} | {kind.todo} |" for kind in all_errors()]
+    """The table of docs/oncall.md, as Markdown."""
+    rows = [f"| `{kind.__name__}` | {_meaning(kind)} | {kind.todo} |" for kind in all_errors()]
     return "\n".join(["| error | what it means | what to do |", "| --- | --- | --- |", *rows])
 
 
 if __name__ == "__main__":
-    from oakfork import errors  # as the others import it
+    from oakfork import errors  # under the name that other modules import, so that their subclasses are found
 
     print(errors.table())
--- a/oakfork/serving.py
+++ b/oakfork/serving.py
@@ -1,4 +1,4 @@
-"""Serves as one real gateway, told by its environment where it stands."""
+"""Starts the gateway that the environment configures, in this process."""
 
 import gc
 import json
@@ -11,9 +11,12 @@
 from oakfork.errors import ConfigurationError, error_lines
 from oakfork.sockets import configuration, gateway
 
+# Objects after which the youngest generation is collected: ten times Python's default, since an RPC leaves few cycles.
+GC_THRESHOLDS = (7_000, 10, 10)
+
 
 def _faults() -> list[str]:
-    """Where the configuration can't be read: what is wrong, each by its path, if the library is there and finds it."""
+    """What the schema finds wrong in a configuration that can't be read; nothing if its library is not installed."""
     try:
         from oakfork.configuration_schema import faults_in
 
@@ -24,13 +27,12 @@
 
 
 def serve() -> None:
+    """Serves until the process is told to end; exits with a message if the configuration can't be used."""
     try:
-        here = configuration.read_configuration(os.environ)
+        gateway_configuration = configuration.read_configuration(os.environ)
     except ConfigurationError as error:
         sys.exit("\n".join(f"oakfork: {line}" for line in error_lines(error, faults=_faults()).splitlines()))
-    # What is loaded stays: no collection need look at it again. The rest is collected a tenth as often as by default:
-    # an RPC leaves few cycles behind.
-    gc.freeze()
-    gc.set_threshold(7_000, 10, 10)
-    trio.run(gateway.run, here)
+    gc.freeze()  # the modules stay loaded: no collection needs to visit their objects
+    gc.set_threshold(*GC_THRESHOLDS)
+    trio.run(gateway.run, gateway_configuration)
     early_signals.ignore_signals()
--- a/oakfork/sockets/configuration.py
+++ b/oakfork/sockets/configuration.py
@@ -1,4 +1,4 @@
-"""What the operators tell a gateway when it starts: where the others are, and the module's GatewaySettings."""
+"""The configuration of a gateway: its addresses, its limits and the settings of its decision module."""
 
 import json
 from dataclasses import dataclass
@@ -9,12 +9,12 @@
 from oakfork.settings import read_settings, tenths
 
 Address = tuple[str, int]
-Read = TypeVar("Read")
+Result = TypeVar("Result")
 
 
 @dataclass(frozen=True, slots=True)
 class NameIndices:
-    """The indices of what the settings list by name."""
+    """The indices of methods, plans and zones, by the names that the settings give them."""
 
     methods: Mapping[bytes, int]
     plans: Mapping[bytes, int]
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GatewayConfiguration:
-    """Where a gateway stands, what it may hold and whom it talks to. Times are seconds."""
+    """What a gateway needs to run: its addresses, those of the other services, and its limits. Times are seconds."""
 
     name: str
     listen: Address
@@ -32,19 +32,20 @@
     peer_listen: Address | None
     peers: tuple[Address, ...]
     peers_all: Address | None
-    sockets: int
+    sockets: int  # file descriptors
     memory: int  # bytes
-    connect_patience: float
-    idle_patience: float
-    count_patience: float
+    connect_timeout: float
+    idle_timeout: float  # after which servers close an idle connection
+    counter_timeout: float
     longest_deadline: float
     tick: int  # tenths of a millisecond: the module's timers need not be finer
-    known: Mapping[str, Any]
+    known: Mapping[str, Any]  # the list of servers at the start, in the format of discovery
     names: NameIndices
     settings: GatewaySettings
 
 
 def parse_address(text: str) -> Address:
+    """Splits HOST:PORT; raises ConfigurationError if it is none."""
     host, _, port = text.rpartition(":")
     if not host or not port.isdecimal() or int(port) > 65535:
         raise ConfigurationError(f"not an address: {text!r}")
@@ -52,66 +53,77 @@
 
 
 def read_configuration(environment: Mapping[str, str]) -> GatewayConfiguration:
-    """Reads LB_CONFIG; LB_NAME, LB_LISTEN and LB_DISCOVERY go before what stands in it."""
+    """Reads the file that LB_CONFIG names; LB_NAME, LB_LISTEN and LB_DISCOVERY override what the file says.
+
+    Raises ConfigurationError if the file can't be used.
+    """
     variables = {"name": "LB_NAME", "listen": "LB_LISTEN", "discovery": "LB_DISCOVERY"}
-    given = {key: environment[variable] for key, variable in variables.items() if environment.get(variable)}
-    return _read(environment, lambda told: _surroundings(told | given))
+    overrides = {key: environment[variable] for key, variable in variables.items() if environment.get(variable)}
+    return _read(environment, lambda document: _configuration(document | overrides))
 
 
 def reread_addresses(environment: Mapping[str, str]) -> tuple[Address, Address | None]:
-    """What a running gateway turns to: the addresses of discovery and the counter, as LB_CONFIG names them now. The
-    variables were for the start."""
-    return _read(environment, lambda told: (parse_address(told["discovery"]), _place(told, "counter")))
+    """The addresses of discovery and of the counter that the file of LB_CONFIG names now, for a running gateway.
+
+    The variables that override the file count at the start only. Raises ConfigurationError if the file can't be used.
+    """
+    return _read(
+        environment,
+        lambda document: (parse_address(document["discovery"]), _optional_address(document, "counter")),
+    )
 
 
-def _read(environment: Mapping[str, str], use: Callable[[dict[str, Any]], Read]) -> Read:
+def _read(environment: Mapping[str, str], convert: Callable[[dict[str, Any]], Result]) -> Result:
     path = environment.get("LB_CONFIG")
     if not path:
         raise ConfigurationError("LB_CONFIG names no file")
     try:
         with open(path, encoding="utf-8") as file:
-            return use(json.load(file))
+            return convert(json.load(file))
     except (OSError, TypeError, ValueError, AttributeError, KeyError, RecursionError) as error:
         raise ConfigurationError(f"{path}: not usable: {error!r}") from error
 
 
-def _place(told: dict[str, Any], key: str) -> Address | None:
-    return parse_address(told[key]) if told.get(key) else None
+def _optional_address(document: dict[str, Any], key: str) -> Address | None:
+    return parse_address(document[key]) if document.get(key) else None
 
 
-def _surroundings(told: dict[str, Any]) -> GatewayConfiguration:
-    info = told["settings"]
-    limits, specifics, known = info.get("limits", {}), info.get("specifics", {}), told.get("known", {})
-    if not isinstance(known, dict):
-        raise ConfigurationError(f"not a list of servers: {known!r:.100}")
-    settings = read_settings(int(told.get("seed", "0"), 16), info)
+def _indices(rows: list, key: str | None = None) -> dict[str, int]:
+    return {(row[key] if key else row): index for index, row in enumerate(rows)}
+
 
-    def numbered(rows: list, key: str | None = None) -> dict[str, int]:
-        return {(row[key] if key else row): number for number, row in enumerate(rows)}
+def _encoded(indices: dict[str, int]) -> dict[bytes, int]:
+    return {name.encode(): index for name, index in indices.items()}
 
-    def encoded(numbers: dict[str, int]) -> dict[bytes, int]:
-        return {name.encode(): number for name, number in numbers.items()}
 
+def _configuration(document: dict[str, Any]) -> GatewayConfiguration:
+    info = document["settings"]
+    limits = info.get("limits", {})
+    specifics = info.get("specifics", {})
+    known = document.get("known", {})
+    if not isinstance(known, dict):
+        raise ConfigurationError(f"not a list of servers: {known!r:.100}")
+    settings = read_settings(int(document.get("seed", "0"), 16), info)
     return GatewayConfiguration(
-        name=str(told.get("name", "")),
-        listen=parse_address(told["listen"]),
-        discovery=parse_address(told["discovery"]),
-        counter=_place(told, "counter") if specifics.get("shared-counter") else None,
-        peer_listen=_place(told, "peer_listen") if settings.peers else None,
-        peers=tuple(parse_address(text) for text in told.get("peers", ())),
-        peers_all=_place(told, "peers_all"),
-        sockets=int(told.get("limits", {}).get("sockets", 1024)),
-        memory=int(told.get("limits", {}).get("memory_mb", 64) * 1024 * 1024),
-        connect_patience=limits.get("connect-timeout-ms", 250.0) / 1000,
-        idle_patience=limits.get("conn-idle-ms", 15_000.0) / 1000,
-        count_patience=specifics.get("count-limit-ms", 50.0) / 1000,
+        name=str(document.get("name", "")),
+        listen=parse_address(document["listen"]),
+        discovery=parse_address(document["discovery"]),
+        counter=_optional_address(document, "counter") if specifics.get("shared-counter") else None,
+        peer_listen=_optional_address(document, "peer_listen") if settings.peers else None,
+        peers=tuple(parse_address(text) for text in document.get("peers", ())),
+        peers_all=_optional_address(document, "peers_all"),
+        sockets=int(document.get("limits", {}).get("sockets", 1024)),
+        memory=int(document.get("limits", {}).get("memory_mb", 64) * 1024 * 1024),
+        connect_timeout=limits.get("connect-timeout-ms", 250.0) / 1000,
+        idle_timeout=limits.get("conn-idle-ms", 15_000.0) / 1000,
+        counter_timeout=specifics.get("count-limit-ms", 50.0) / 1000,
         longest_deadline=max((method.deadline for method in settings.methods), default=0) / 10_000,
         tick=tenths(info.get("tick-ms", 1.0)),
         known=known,
         names=NameIndices(
-            encoded(numbered(info.get("classes", ()), "name")),
-            encoded(numbered(info.get("tiers-of-service", ()), "name")),
-            numbered(info.get("zones", ())),
+            _encoded(_indices(info.get("classes", ()), "name")),
+            _encoded(_indices(info.get("tiers-of-service", ()), "name")),
+            _indices(info.get("zones", ())),
         ),
         settings=settings,
     )
--- a/oakfork/sockets/discovery.py
+++ b/oakfork/sockets/discovery.py
@@ -1,4 +1,4 @@
-"""Keeps up with the list of servers by watches, one after the other."""
+"""Follows the list of servers: long polls (watches) of the discovery agent, one after another."""
 
 import json
 import random
@@ -9,128 +9,154 @@
 
 from oakfork.errors import ConnectionFailedError
 from oakfork.sockets.configuration import Address, GatewayConfiguration
-from oakfork.sockets.http_connection import HttpConnection, connect, request_head
+from oakfork.sockets.http_connection import HttpConnection, HttpMessage, connect, request_head
 from oakfork.sockets.messages import LoopEvent, ServersListed, enqueue
 from oakfork.sockets.outcomes import Outcome
 
-# Six seconds after discovery had a change and could be reached, it counts as told, whatever call failed, was refused or
-# was given up just before. The longest way there: a watch that has gone silent (it looks like one with no news until
-# HOLD and PROMPT are over), the longest pause, a connection that comes up at last (UP), and an answer after PROMPT.
+# Seconds after which a change counts as known to the gateway, from when discovery has it and can be reached, whatever
+# call failed, was refused or was given up just before. The longest way there: a watch that falls silent (until HOLD and
+# ANSWER_TIMEOUT are over it looks like one without news), the longest pause, a connection that is established at the
+# last moment (CONNECT_TIMEOUT), and an answer that takes ANSWER_TIMEOUT.
 TOLD = 6.0
-HOLD = 1.0  # seconds that a watch waits for something new
-PROMPT = 1.0  # and beyond that an agent, which answers at once, may take
-UP = 0.5  # seconds for a connection to the agent, however patient the settings are with servers
-# Seconds before a broken watch is taken up again: twice as long after each failure, drawn from the upper half of that.
-# The longest is what is left of the six, less a tenth of a second for a busy machine. Where lists come on asking, the
-# module says when a call that was refused is made again.
-PAUSE = 0.1
-LONGEST_PAUSE = TOLD - (HOLD + PROMPT) - UP - PROMPT - 0.1
+HOLD = 1.0  # seconds that the agent holds a watch until there is something new
+ANSWER_TIMEOUT = 1.0  # seconds beyond that; an agent answers at once
+CONNECT_TIMEOUT = 0.5  # seconds for a connection to the agent, even if the settings allow more for servers
+# Seconds before a broken watch is resumed: twice as long after each failure, drawn from the upper half of that. The
+# longest pause is what the rest leaves of TOLD, less a tenth of a second for a busy machine. Where lists come on
+# request only, the decision module says when a call that was refused is repeated.
+SHORTEST_PAUSE = 0.1
+LONGEST_PAUSE = TOLD - (HOLD + ANSWER_TIMEOUT) - CONNECT_TIMEOUT - ANSWER_TIMEOUT - 0.1
+LIST_TARGET = "/api/targets"
 
 
 class DiscoveryClient:
-    def __init__(self, here: GatewayConfiguration, queue: trio.MemorySendChannel[LoopEvent], log: BoundLogger) -> None:
-        self.here, self.queue, self.log = here, queue, log
-        self.address = here.discovery
-        self.version = here.known.get("version")
-        self.asked = trio.Event()  # set while a watch is wanted
+    """Watches the server list of the discovery agent, and queues each list and change for the decision loop."""
+
+    def __init__(
+        self, configuration: GatewayConfiguration, queue: trio.MemorySendChannel[LoopEvent], log: BoundLogger
+    ) -> None:
+        self.configuration = configuration
+        self.queue = queue
+        self.log = log
+        self.address = configuration.discovery
+        self.version = configuration.known.get("version")  # of the list; None: the whole list is read next
+        self.subscribed = trio.Event()  # set while a watch is wanted
         self.watching = trio.CancelScope()
-        self.broken = False  # told in the log once, until it goes on
-        self.pause = PAUSE
-        self.chance = random.Random(here.settings.seed)
-        if not here.settings.subscribes_to_list:
-            self.asked.set()
+        self.broken = False  # logged once, until the watch works again
+        self.pause = SHORTEST_PAUSE
+        self.random = random.Random(configuration.settings.seed)
+        if not configuration.settings.subscribes_to_list:
+            self.subscribed.set()
 
     async def run(self) -> None:
+        """Watches the list for good, whenever a watch is wanted."""
         while True:
-            await self.asked.wait()
+            await self.subscribed.wait()
             self.watching = trio.CancelScope()
             with self.watching:
                 try:
                     await self._watch()
-                except ConnectionFailedError as end:
-                    if not self.broken:
-                        self.log.warning("the watch of the server list broke", ending=end.outcome.name, todo=end.todo)
-                    self.broken = True
-                    if (
-                        self.here.settings.subscribes_to_list and end.outcome is Outcome.ERROR
-                    ):  # the module says when to ask again
-                        self.asked = trio.Event()
-                        enqueue(self.queue, ServersListed(False, True, ()))
-                        continue
-                    pause, self.pause = self.pause, min(2 * self.pause, LONGEST_PAUSE)
-                    await trio.sleep(pause * (1 + self.chance.random()) / 2)
+                except ConnectionFailedError as error:
+                    await self._recover(error)
+
+    async def _recover(self, error: ConnectionFailedError) -> None:
+        """Waits before the next watch, or reports a refused call where the module says when to repeat it."""
+        if not self.broken:
+            self.log.warning("server list watch failed", ending=error.outcome.name, todo=error.todo)
+        self.broken = True
+        if self.configuration.settings.subscribes_to_list and error.outcome is Outcome.ERROR:
+            self.subscribed = trio.Event()
+            enqueue(self.queue, ServersListed(False, True, ()))
+            return
+        pause = self.pause
+        self.pause = min(2 * self.pause, LONGEST_PAUSE)
+        await trio.sleep(pause * (1 + self.random.random()) / 2)
 
     def subscribe(self, on: bool) -> None:
+        """Starts or ends the watch."""
         if on:
-            self.asked.set()
-        elif self.asked.is_set():
-            self.asked = trio.Event()
+            self.subscribed.set()
+        elif self.subscribed.is_set():
+            self.subscribed = trio.Event()
             self.watching.cancel()
 
     def change_address(self, address: Address) -> None:
-        """Goes over to another agent at once, and asks it for the whole list: what the two count may differ. It is
-        asked now, also where the module waits for the time to ask the old one again."""
+        """Turns to another agent and asks it for the whole list, since its versions may differ from the old agent's.
+
+        It is asked at once, even if the decision module waits for the time to ask the old agent again.
+        """
         if address != self.address:
-            self.address, self.version, self.broken, self.pause = address, None, False, PAUSE
+            self.address = address
+            self.version = None
+            self.broken = False
+            self.pause = SHORTEST_PAUSE
             self.watching.cancel()
-            self.asked.set()
+            self.subscribed.set()
 
     async def read_list_once(self) -> None:
-        """The whole list, on the module's request."""
+        """Reads the whole list at the request of the decision module."""
         address = self.address
         try:
-            link = await self._connect(address)
+            connection = await self._connect(address)
             try:
-                await self._ask(link, address, "/api/targets")
+                await self._ask(connection, address, LIST_TARGET)
             finally:
-                link.close()
+                connection.close()
         except ConnectionFailedError:
             enqueue(self.queue, ServersListed(False, True, ()))
 
     async def _connect(self, address: Address) -> HttpConnection:
-        return await connect(address, min(self.here.connect_patience, UP))
+        return await connect(address, min(self.configuration.connect_timeout, CONNECT_TIMEOUT))
 
     async def _watch(self) -> None:
         address = self.address
-        link = await self._connect(address)
+        connection = await self._connect(address)
         try:
             while True:
                 if self.version is None:
-                    await self._ask(link, address, "/api/targets")
+                    await self._ask(connection, address, LIST_TARGET)
                 else:
-                    await self._ask(link, address, f"/api/targets?from={self.version}&hold_ms={HOLD * 1000:.0f}", HOLD)
-                if not link.renew():
-                    link.close()
-                    link = await self._connect(address)
+                    target = f"{LIST_TARGET}?from={self.version}&hold_ms={HOLD * 1000:.0f}"
+                    await self._ask(connection, address, target, HOLD)
+                if not connection.renew():
+                    connection.close()
+                    connection = await self._connect(address)
         finally:
-            link.close()
-
-    async def _ask(self, link: HttpConnection, address: Address, target: str, hold: float = 0.0) -> None:
-        """One call to the agent at that address, whose answer goes to the keeper."""
-        with trio.move_on_after(hold + PROMPT):
-            await link.write(request_head("GET", target, address))
-            message = await link.read()
-            if address != self.address:  # that agent is ours no more: its version says nothing of the new one's
+            connection.close()
+
+    async def _ask(self, connection: HttpConnection, address: Address, target: str, hold: float = 0.0) -> None:
+        """Makes one call to the agent at that address, and queues the servers of its answer."""
+        with trio.move_on_after(hold + ANSWER_TIMEOUT):
+            await connection.write(request_head("GET", target, address))
+            message = await connection.read()
+            if address != self.address:  # another agent is used by now, and this version says nothing of its list
                 raise ConnectionFailedError(Outcome.GIVEN_UP)
             if message.head.status_code != 200:
                 raise ConnectionFailedError(Outcome.ERROR)
-            try:
-                told = json.loads(message.body)
-                version, complete, servers = int(told["version"]), bool(told["full"]), list(told["servers"])
-            except (ValueError, TypeError, KeyError, OverflowError, RecursionError):
-                self.version = None  # what was missed is not known: the whole list next
-                raise ConnectionFailedError(Outcome.MALFORMED) from None
+            version, complete, servers = self._parse_list(message)
             if not hold and self.version is not None and version < self.version:
-                return  # read beside a watch that has been told more since
-            # From here to the end nothing waits: a version that counts as read is told, whatever is cancelled.
-            self.version, self.broken, self.pause = version, False, PAUSE
+                return  # read beside a watch that has received something newer
+            # Nothing waits from here on, so that a version that counts as read has its servers queued, whatever is
+            # cancelled.
+            self.version = version
+            self.broken = False
+            self.pause = SHORTEST_PAUSE
             if servers or complete:
                 enqueue(self.queue, ServersListed(complete, False, servers))
             return
         raise ConnectionFailedError(Outcome.SILENT)
 
+    def _parse_list(self, message: HttpMessage) -> tuple[int, bool, list]:
+        """Version, whether the list is complete, and its servers."""
+        try:
+            document = json.loads(message.body)
+            return int(document["version"]), bool(document["full"]), list(document["servers"])
+        except (ValueError, TypeError, KeyError, OverflowError, RecursionError):
+            self.version = None  # what the answer said is not known: the whole list is read next
+            raise ConnectionFailedError(Outcome.MALFORMED) from None
+
 
 def server_rows(known: Mapping[str, Any]) -> list:
-    """The list that a gateway has when it starts."""
+    """The servers that a gateway knows when it starts, in the format of discovery."""
     servers = known.get("servers", ())
     return list(servers) if isinstance(servers, list) else []
--- a/oakfork/sockets/gateway.py
+++ b/oakfork/sockets/gateway.py
@@ -1,4 +1,4 @@
-"""Puts the parts of a gateway together, turns them to new addresses on SIGHUP, takes it out of service on SIGTERM."""
+"""Runs a gateway: starts its parts, rereads addresses on SIGHUP, and shuts it down gracefully on SIGTERM or SIGINT."""
 
 import logging
 import math
@@ -27,16 +27,23 @@
 if TYPE_CHECKING:
     from oakfork.fleet.services import FleetServices
 
-OTHERS = 24  # descriptors for the other parties and the interpreter: twelve were seen, more where lists are read
-ANSWERS = 64  # an answer may take that part of the memory: a third is the program's, few are so large at once
-LINGER = 0.6  # seconds after SIGTERM in which new connections are still taken: they come for 0.4 s
-# A new configuration that is not usable is read again so often, so many seconds apart: it may be half written. What it
-# says counts four seconds after SIGHUP.
-READINGS, BETWEEN = 13, 0.25
-MARGIN = 0.7  # seconds beyond the longest deadline after which it ends in any case, as in PROTOCOL
+# Descriptors for the interpreter and for the services beside servers and clients. Twelve are usually open, more while
+# server lists are read.
+RESERVED_SOCKETS = 24
+# The largest answer, as a fraction of the memory: the program takes a third of it, and only few answers are so large at
+# the same time.
+MEMORY_PER_ANSWER = 64
+ACCEPT_AFTER_SIGTERM = 0.6  # seconds in which new connections are still accepted; clients open some for 0.4 s
+# A new configuration that is not usable may be half written: it is read so often, with pauses of so many seconds. It
+# must be in force four seconds after SIGHUP.
+REREAD_ATTEMPTS = 13
+REREAD_PAUSE = 0.25
+MIN_DRAIN_TIME = 3.0  # seconds from SIGTERM for which RPCs are waited for, even if all deadlines are shorter
+SHUTDOWN_MARGIN = 0.7  # seconds beyond the longest deadline after which the process ends in any case, by the protocol
 
 
 def logger(name: str) -> BoundLogger:
+    """A logger that writes JSON lines to standard error; `name` is the gateway's."""
     structlog.configure(
         processors=[
             structlog.processors.add_log_level,
@@ -51,105 +58,118 @@
     return structlog.get_logger(gateway=name)
 
 
-async def run(here: GatewayConfiguration) -> None:
-    log = logger(here.name)
-    queue, inbox = trio.open_memory_channel(math.inf)  # see messages.tell
+async def run(configuration: GatewayConfiguration) -> None:
+    """Serves until SIGTERM or SIGINT and then leaves; exits the process if an address or a file can't be used."""
+    log = logger(configuration.name)
+    queue, inbox = trio.open_memory_channel(math.inf)  # messages.enqueue says why it is unbounded
     try:
-        listener = bind_socket(socket.SOCK_STREAM, here.listen)
-        datagrams = bind_socket(socket.SOCK_DGRAM, here.peer_listen) if here.peer_listen else None
-        fleet = _fleet(here, log, queue)
+        listener = bind_socket(socket.SOCK_STREAM, configuration.listen)
+        datagrams = bind_socket(socket.SOCK_DGRAM, configuration.peer_listen) if configuration.peer_listen else None
+        fleet = _fleet(configuration, log, queue)
     except AddressInUseError as error:
-        log.error("an address of its own can't be had", **log_fields(error))
+        log.error("listen address not available", **log_fields(error))
         sys.exit(error.status)
     except FileError as error:
-        log.error("a file of the fleet is not usable", **log_fields(error))
+        log.error("fleet file not usable", **log_fields(error))
         sys.exit(error.status)
     with trio.open_signal_receiver(signal.SIGTERM, signal.SIGINT, signal.SIGHUP) as signals:
         async with trio.open_nursery() as nursery:
-            # Two fifths of the descriptors for the servers, OTHERS for the rest, what is left for the clients.
-            to_servers = here.sockets * 2 // 5
-            largest = here.memory // ANSWERS
+            # Two fifths of the descriptors are for servers, RESERVED_SOCKETS for the rest, the remainder for clients.
+            server_sockets = configuration.sockets * 2 // 5
+            client_sockets = max(1, configuration.sockets - server_sockets - RESERVED_SOCKETS)
             servers = ServerConnections(
-                to_servers, largest, here.connect_patience, here.idle_patience, here.settings.load_report_names
+                server_sockets,
+                configuration.memory // MEMORY_PER_ANSWER,
+                configuration.connect_timeout,
+                configuration.idle_timeout,
+                configuration.settings.load_report_names,
             )
-            clients = ClientConnections(here, listener, max(1, here.sockets - to_servers - OTHERS), queue, nursery, log)
-            discovery = DiscoveryClient(here, queue, log)
-            peers = PeerSocket(here, datagrams, queue) if datagrams else None
-            counter = CounterClient(here, queue) if here.counter else None
+            clients = ClientConnections(configuration, listener, client_sockets, queue, nursery, log)
+            discovery = DiscoveryClient(configuration, queue, log)
+            peers = PeerSocket(configuration, datagrams, queue) if datagrams else None
+            counter = CounterClient(configuration, queue) if configuration.counter else None
+            contracts = fleet.contracts if fleet else None
             decision_loop = DecisionLoop(
-                here, inbox, queue, servers, discovery, peers, counter, nursery, log, fleet.contracts if fleet else None
+                configuration, inbox, queue, servers, discovery, peers, counter, nursery, log, contracts
             )
-            told_by_fleet = fleet is not None and fleet.agent is not None  # of the servers, in discovery's place
-            for part in (decision_loop, clients, servers, None if told_by_fleet else discovery, peers, counter):
+            follows_control = fleet is not None and fleet.agent is not None  # which lists the servers then
+            watch = None if follows_control else discovery
+            for part in (decision_loop, clients, servers, watch, peers, counter):
                 if part is not None:
                     nursery.start_soon(part.run)
             nursery.start_soon(decision_loop.tick)
             if fleet:
                 nursery.start_soon(fleet.run)
             nursery.start_soon(clients.sweep)
-            log.info("serving", listen="%s:%d" % here.listen)
-            to_leave = trio.Event()
-            nursery.start_soon(_heed, signals, to_leave, discovery, counter, fleet, log)
-            await to_leave.wait()
+            log.info("serving", listen="%s:%d" % configuration.listen)
+            shutdown = trio.Event()
+            nursery.start_soon(_receive_signals, signals, shutdown, discovery, counter, fleet, log)
+            await shutdown.wait()
             log.info("leaving", connections=len(clients.open))
             clients.leave()
             if fleet:
                 nursery.start_soon(fleet.leave)
-            await trio.sleep(LINGER)
+            await trio.sleep(ACCEPT_AFTER_SIGTERM)
             clients.accepting.cancel()
-            with trio.move_on_after(max(3.0, here.longest_deadline) + MARGIN - LINGER):
+            drain_time = max(MIN_DRAIN_TIME, configuration.longest_deadline) + SHUTDOWN_MARGIN
+            with trio.move_on_after(drain_time - ACCEPT_AFTER_SIGTERM):
                 await clients.empty.wait()
             nursery.cancel_scope.cancel()
     log.info("left")
 
 
 def _fleet(
-    here: GatewayConfiguration, log: BoundLogger, queue: trio.MemorySendChannel[LoopEvent]
+    configuration: GatewayConfiguration, log: BoundLogger, queue: trio.MemorySendChannel[LoopEvent]
 ) -> "FleetServices | None":
-    """What is done with the other gateways beside the module, where LB_FLEET names a file: nothing of it is imported
-    otherwise, and `run` of the platform names none."""
+    """The services that gateways run together, if LB_FLEET names a file.
+
+    Nothing of them is imported otherwise: `run` of the platform sets no LB_FLEET.
+    """
     path = os.environ.get("LB_FLEET")
     if not path:
         return None
     from oakfork.fleet.services import FleetServices
 
-    return FleetServices(path, here, log, lambda servers: enqueue(queue, ServersListed(False, False, servers)))
+    return FleetServices(path, configuration, log, lambda rows: enqueue(queue, ServersListed(False, False, rows)))
 
 
-async def _heed(
+async def _receive_signals(
     signals: AsyncIterator[int],
-    to_leave: trio.Event,
+    shutdown: trio.Event,
     discovery: DiscoveryClient,
     counter: CounterClient | None,
     fleet: "FleetServices | None",
     log: BoundLogger,
 ) -> None:
-    """Takes signals until the end of the process, while it leaves too: one that nobody takes would end it."""
+    """Handles signals until the process ends, also while it leaves: an unhandled one would end it."""
     async with trio.open_nursery() as nursery:
         if early_signals.take_pending_hangup():
-            nursery.start_soon(_turn, discovery, counter, log)
+            nursery.start_soon(_reload, discovery, counter, log)
         async for number in signals:
             if number != signal.SIGHUP:
-                to_leave.set()
+                shutdown.set()
                 continue
-            nursery.start_soon(_turn, discovery, counter, log)
+            nursery.start_soon(_reload, discovery, counter, log)
             if fleet:
                 fleet.reread()
 
 
-async def _turn(discovery: DiscoveryClient, counter: CounterClient | None, log: BoundLogger) -> None:
-    """Goes over to what the configuration names now. One that is not usable is read again for three seconds, and then
-    changes nothing: the gateway serves on."""
-    for reading in range(READINGS):
+async def _reload(discovery: DiscoveryClient, counter: CounterClient | None, log: BoundLogger) -> None:
+    """Turns to the addresses that the configuration names now.
+
+    A configuration that is not usable is read again for three seconds; if it stays so, nothing changes and the gateway
+    serves on.
+    """
+    for attempt in range(REREAD_ATTEMPTS):
         try:
-            to_discovery, to_counter = reread_addresses(os.environ)
+            discovery_address, counter_address = reread_addresses(os.environ)
             break
         except ConfigurationError as error:
-            if reading == READINGS - 1:
-                log.error("the new configuration is not usable, the old one holds", **log_fields(error))
+            if attempt == REREAD_ATTEMPTS - 1:
+                log.error("new configuration not usable, the old one stays in force", **log_fields(error))
                 return
-            await trio.sleep(BETWEEN)
-    discovery.change_address(to_discovery)
-    if counter is not None and to_counter is not None:
-        counter.change_address(to_counter)
-    log.info("configuration read anew", discovery="%s:%d" % to_discovery)
+            await trio.sleep(REREAD_PAUSE)
+    discovery.change_address(discovery_address)
+    if counter is not None and counter_address is not None:
+        counter.change_address(counter_address)
+    log.info("configuration reloaded", discovery="%s:%d" % discovery_address)
--- a/oakfork/sockets/http_connection.py
+++ b/oakfork/sockets/http_connection.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 on one connection: h11 parses heads where they were received, writes are gathered."""
+"""HTTP/1.1 on one connection: h11 parses heads in the buffer that received them, and writes are gathered."""
 
 import contextlib
 import errno
@@ -11,74 +11,83 @@
 from oakfork.errors import AddressInUseError, ConnectionFailedError
 from oakfork.sockets.outcomes import Outcome
 
-LARGEST_BODY = 64 * 1024  # PROTOCOL: a body holds 64 KiB at most; servers have been seen to say more
-LARGEST_HEAD = 16 * 1024
-READ = 64 * 1024
-PIECES = 512  # of a gathered write; Linux takes 1,024
+LARGEST_BODY = 64 * 1024  # bytes; the protocol allows 64 KiB, but some servers send more
+LARGEST_HEAD = 16 * 1024  # bytes
+RECEIVE_SIZE = 64 * 1024  # bytes
+MAX_WRITE_BUFFERS = 512  # buffers of one gathered write; Linux takes 1,024
 
 Header = tuple[bytes, bytes]
 
 
 class HttpMessage(NamedTuple):
+    """A complete request or response."""
+
     head: h11.Request | h11.Response
     body: bytes
 
     def header(self, name: bytes) -> bytes | None:
-        """The first header of that name, in lower case."""
+        """The value of the first header with that name, which is given in lower case."""
         return next((value for key, value in self.head.headers if key == name), None)
 
 
 def request_head(method: str, target: str, address: tuple[str, int]) -> h11.Request:
-    """A request of the gateway's own, with no body."""
+    """The head of a request that the gateway makes itself, without a body."""
     headers = [("Host", "%s:%d" % address)]
     if method != "GET":
         headers.append(("Content-Length", "0"))
     return h11.Request(method=method, target=target, headers=headers)
 
 
-def pairs(text: bytes) -> Iterator[tuple[bytes, bytes]]:
+def parse_pairs(text: bytes) -> Iterator[tuple[bytes, bytes]]:
     """The names and values of a list such as 'inflight=7,queue=2'."""
     for part in text.split(b","):
         name, _, value = part.strip().partition(b"=")
         yield name, value
 
 
-def _sound(head: h11.Request | h11.Response, largest: int) -> None:
-    """Guards against bodies that hide a second message (a length and chunks both told, RFC 9112, 6.3), and against
-    those told to be larger than is taken, before any of it is."""
-    length = chunks = None
+def _check_framing(head: h11.Request | h11.Response, max_body: int) -> None:
+    """Raises ConnectionFailedError if the length of the body is ambiguous or too large.
+
+    Guards against bodies that hide a second message (a length and chunks in the same head, RFC 9112, 6.3), and against
+    bodies whose stated length is over the limit, before any of their bytes are read.
+    """
+    length = None
+    encoding = None
     for name, value in head.headers:
         if name == b"content-length":
             length = int(value)
         elif name == b"transfer-encoding":
-            chunks = value
-    if chunks is not None and (length is not None or head.http_version < b"1.1"):
+            encoding = value
+    if encoding is not None and (length is not None or head.http_version < b"1.1"):
         raise ConnectionFailedError(Outcome.MALFORMED)
-    if length is not None and length > largest:
+    if length is not None and length > max_body:
         raise ConnectionFailedError(Outcome.OVERSIZED)
 
 
 class HttpConnection:
-    """A connection and what h11 knows of it. The socket doesn't block: a task waits only where there is nothing to
-    read or no room to write, which spares the checkpoint after each call that trio's own sockets have."""
+    """A connected socket and its h11 state.
+
+    The socket doesn't block: a task waits only where there is nothing to read or no room to write. This saves the
+    checkpoint that trio's own sockets have after each call.
+    """
 
     def __init__(
-        self, sock: socket.socket, role: type[h11.CLIENT] | type[h11.SERVER], largest: int = LARGEST_BODY
+        self, sock: socket.socket, role: type[h11.CLIENT] | type[h11.SERVER], max_body: int = LARGEST_BODY
     ) -> None:
         self.sock = sock
-        self.largest = largest  # body
+        self.max_body = max_body  # bytes
         self.http = h11.Connection(role, max_incomplete_event_size=LARGEST_HEAD)
-        self.buffered = 0  # bytes received that are not of a whole message yet
-        self.head: h11.Request | h11.Response | None = None  # of the message being read
+        self.buffered = 0  # bytes received that belong to no complete message yet
+        self.head: h11.Request | h11.Response | None = None  # of the message that is being read
         self.body: list[bytes] = []
-        self.size = 0
+        self.size = 0  # bytes of the body received so far
 
     async def fill(self) -> bool:
-        """Receives some bytes; False at the end of the other side's sending."""
+        """Receives some bytes; False if the other side has ended its sending."""
         while True:
             await trio.lowlevel.wait_readable(self.sock)
             try:
-                data = self.sock.recv(READ)
+                data = self.sock.recv(RECEIVE_SIZE)
             except BlockingIOError:
                 continue
             except OSError:
@@ -88,21 +97,23 @@
             return bool(data)
 
     def receive_available(self) -> bool:
-        """Receives what is there without waiting; whether there was something."""
+        """Receives what is there without waiting; returns whether there was something."""
         try:
-            data = self.sock.recv(READ)
-        except OSError:  # nothing there, or broken, which the next wait tells
+            data = self.sock.recv(RECEIVE_SIZE)
+        except OSError:  # nothing to read, or a broken connection, which the next wait reports
             return False
         self.buffered += len(data)
         self.http.receive_data(data)
         return bool(data)
 
     async def discard(self, pause: float) -> bool:
-        """Waits for bytes and throws them away; False at the end of the other side's sending. After some it rests, so
-        that one who sends without end costs little."""
+        """Waits for bytes and discards them; False if the other side has ended its sending.
+
+        Sleeps `pause` seconds after each read, so that a peer that sends without end costs little.
+        """
         await trio.lowlevel.wait_readable(self.sock)
         try:
-            data = self.sock.recv(READ)
+            data = self.sock.recv(RECEIVE_SIZE)
         except BlockingIOError:
             return True
         except OSError:
@@ -112,12 +123,12 @@
         return bool(data)
 
     def shut_down_sending(self) -> None:
-        """Half-closes: the other side sees the end behind all that was written."""
-        with contextlib.suppress(OSError):  # it is gone already
+        """Half-closes the connection: the other side sees the end after all that was written."""
+        with contextlib.suppress(OSError):  # already closed by the other side
             self.sock.shutdown(socket.SHUT_WR)
 
     def parse(self) -> HttpMessage | None:
-        """The next whole message; None where more must be received."""
+        """The next complete message; None if more bytes must be received first."""
         while True:
             try:
                 event = self.http.next_event()
@@ -128,75 +139,88 @@
                 return None
             if isinstance(event, (h11.Request, h11.Response)):
                 self.head = event
-                _sound(event, self.largest)
+                _check_framing(event, self.max_body)
             elif isinstance(event, h11.Data):
                 self.size += len(event.data)
-                if self.size > self.largest:
+                if self.size > self.max_body:
                     raise ConnectionFailedError(Outcome.OVERSIZED)
                 self.body.append(bytes(event.data))
             elif isinstance(event, h11.EndOfMessage):
-                message = HttpMessage(self.head, b"".join(self.body))
-                self.head, self.body, self.size = None, [], 0
-                self.buffered = len(self.http.trailing_data[0])
-                return message
+                return self._complete_message()
             elif isinstance(event, h11.ConnectionClosed):
                 raise ConnectionFailedError(Outcome.ENDED)
             elif event is h11.PAUSED:
                 raise ConnectionFailedError(Outcome.MALFORMED)
 
-    async def read(self, patience: float = float("inf")) -> HttpMessage:
-        """The next whole message. Guards against answers that stop half-way: one that has begun may pause for so long
-        and no longer."""
+    def _complete_message(self) -> HttpMessage:
+        message = HttpMessage(self.head, b"".join(self.body))
+        self.head = None
+        self.body = []
+        self.size = 0
+        self.buffered = len(self.http.trailing_data[0])
+        return message
+
+    async def read(self, stall_timeout: float = float("inf")) -> HttpMessage:
+        """The next complete message.
+
+        Guards against answers that stop half-way: a message that has begun may pause for `stall_timeout` seconds at
+        most, after which ConnectionFailedError is raised.
+        """
         while (message := self.parse()) is None:
             if self.head is None and not self.http.trailing_data[0]:
                 await self.fill()
                 continue
-            with trio.move_on_after(patience) as scope:
+            with trio.move_on_after(stall_timeout) as scope:
                 await self.fill()
             if scope.cancelled_caught:
                 raise ConnectionFailedError(Outcome.STALLED)
         return message
 
     def put(self, head: h11.Request | h11.Response | h11.InformationalResponse, body: bytes = b"") -> list[memoryview]:
-        """Writes a message with one gathered write; what the socket had no room for is left to drain."""
+        """Writes a message with one gathered write; returns what the socket had no room for, for `drain`."""
         try:
             chunks = list(self.http.send_with_data_passthrough(head))
             if not isinstance(head, h11.InformationalResponse):
                 if body:
                     chunks += self.http.send_with_data_passthrough(h11.Data(data=body))
                 chunks += self.http.send_with_data_passthrough(h11.EndOfMessage())
-        except h11.LocalProtocolError:  # not to be said on this connection, as it stands
+        except h11.LocalProtocolError:  # the state of this connection does not allow this message
             raise ConnectionFailedError(Outcome.UNSENT) from None
         return self._push([memoryview(chunk) for chunk in chunks if chunk])
 
-    async def drain(self, left: list[memoryview]) -> None:
-        while left:
-            if self.sock.fileno() < 0:  # closed before this task had its turn
+    async def drain(self, unsent: list[memoryview]) -> None:
+        """Writes what `put` left over, and waits for room where there is none."""
+        while unsent:
+            if self.sock.fileno() < 0:  # closed before this task ran
                 raise ConnectionFailedError(Outcome.UNSENT)
             await trio.lowlevel.wait_writable(self.sock)
-            left = self._push(left)
+            unsent = self._push(unsent)
 
     async def write(self, head: h11.Request | h11.Response, body: bytes = b"") -> None:
-        left = self.put(head, body)
-        if left:
-            await self.drain(left)
+        """Writes a complete message."""
+        unsent = self.put(head, body)
+        if unsent:
+            await self.drain(unsent)
 
-    def _push(self, left: list[memoryview]) -> list[memoryview]:
+    def _push(self, unsent: list[memoryview]) -> list[memoryview]:
         try:
-            sent = self.sock.sendmsg(left[:PIECES])
+            sent = self.sock.sendmsg(unsent[:MAX_WRITE_BUFFERS])
         except BlockingIOError:
-            return left
+            return unsent
         except OSError:
             raise ConnectionFailedError(Outcome.UNSENT) from None
-        while left and sent >= len(left[0]):
-            sent -= len(left.pop(0))
+        while unsent and sent >= len(unsent[0]):
+            sent -= len(unsent.pop(0))
         if sent:
-            left[0] = left[0][sent:]
-        return left
+            unsent[0] = unsent[0][sent:]
+        return unsent
 
     def renew(self) -> bool:
-        """Makes ready for the next exchange; False if the connection must be closed. Guards against servers that say
-        more than was asked: what stands behind an answer would be taken for the next one."""
+        """Prepares the connection for the next exchange; False if it must be closed.
+
+        Guards against servers that send more than was asked for: bytes behind an answer would be taken for the next
+        answer.
+        """
         if self.http.our_state is not h11.DONE or self.http.their_state is not h11.DONE:
             return False
         if self.buffered and self.http.our_role is h11.CLIENT:
@@ -205,7 +229,7 @@
         return True
 
     def is_reusable(self) -> bool:
-        """Whether the idle connection looks open and nothing unasked has come on it."""
+        """Whether the idle connection is still open and nothing has been received on it."""
         try:
             self.sock.recv(1, socket.MSG_PEEK)
         except BlockingIOError:
@@ -215,11 +239,12 @@
         return False
 
     def close(self) -> None:
+        """Closes the socket."""
         self.sock.close()
 
 
 def bind_socket(kind: socket.SocketKind, address: tuple[str, int]) -> socket.socket:
-    """A socket of ours at an address; raises AddressInUseError."""
+    """A non-blocking IPv4 socket bound to an address; raises AddressInUseError."""
     sock = socket.socket(socket.AF_INET, kind)
     sock.setblocking(False)
     if kind == socket.SOCK_STREAM:
@@ -232,8 +257,8 @@
     return sock
 
 
-async def connect(address: tuple[str, int], patience: float, largest: int = LARGEST_BODY) -> HttpConnection:
-    """A new connection to an HTTP server."""
+async def connect(address: tuple[str, int], timeout: float, max_body: int = LARGEST_BODY) -> HttpConnection:
+    """A new connection to an HTTP server, established within `timeout` seconds; raises ConnectionFailedError."""
     try:
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     except OSError:
@@ -243,7 +268,7 @@
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         code = sock.connect_ex(address)
         if code == errno.EINPROGRESS:
-            with trio.CancelScope(deadline=trio.current_time() + patience) as scope:
+            with trio.CancelScope(deadline=trio.current_time() + timeout) as scope:
                 await trio.lowlevel.wait_writable(sock)
             if scope.cancelled_caught:
                 raise ConnectionFailedError(Outcome.NEVER_UP)
@@ -256,4 +281,4 @@
     except BaseException:
         sock.close()
         raise
-    return HttpConnection(sock, h11.CLIENT, largest)
+    return HttpConnection(sock, h11.CLIENT, max_body)
--- a/oakfork/sockets/messages.py
+++ b/oakfork/sockets/messages.py
@@ -1,4 +1,7 @@
-"""What the socket code tells the keeper through its queue. What needs no id at the door goes as the module's event."""
+"""Messages that the network tasks send to the decision loop through its queue.
+
+Events of the decision module that name no RPC or server by an index are queued as they are.
+"""
 
 from typing import Any, Mapping, NamedTuple, Sequence
 
@@ -11,16 +14,20 @@
 
 
 class RpcReceived(NamedTuple):
+    """A client sent a complete RPC."""
+
     exchange: Exchange
 
 
 class ClientLeft(NamedTuple):
-    """The client has gone away."""
+    """No connection waits for the answer of an RPC any more."""
 
     exchange: Exchange
 
 
 class CallOutFinished(NamedTuple):
+    """A call-out ended; `message` is the server's answer if it was received completely."""
+
     exchange: Exchange
     call_out: CallOut
     outcome: Outcome
@@ -28,12 +35,14 @@
 
 
 class ServersListed(NamedTuple):
+    """Servers or changes of servers, in the format of discovery; `failed` if a list that was asked for did not come."""
+
     complete: bool
     failed: bool
-    servers: Sequence[Mapping[str, Any]]  # as discovery words them
+    servers: Sequence[Mapping[str, Any]]
 
 
-# None: a timer of the keeper's is due.
+# None: a timer of the decision loop is due.
 LoopEvent = (
     RpcReceived
     | ClientLeft
@@ -46,20 +55,23 @@
 )
 
 
-# Datagrams that the keeper has not yet taken; more are lost, as datagrams may be.
+# Queue length from which on datagrams are dropped, as a network may drop them.
 MAX_QUEUED_DATAGRAMS = 1024
 
 
-def enqueue(queue: trio.MemorySendChannel[LoopEvent], told: LoopEvent) -> None:
-    """Sends at once, in the order of the calls. Guards against what is told late or out of order: a task that waited
-    for room could be overtaken (ClientLeft before
-    RpcReceived, and an RPC went on for a client that had gone) or cancelled (a list whose version counted as read was
-    never told). The queue so takes any number, and its length is bounded by who
-    tells: one RPC a connection, one end a call-out or probe, one list a call, and the decision loop has its turn after
-    each turn of theirs. Datagrams, which nothing else bounds, are told by enqueue_datagram."""
-    queue.send_nowait(told)
+def enqueue(queue: trio.MemorySendChannel[LoopEvent], message: LoopEvent) -> None:
+    """Queues a message at once, in the order of the calls.
+
+    Guards against messages that come late or out of order: a task that waited for room in the queue could be overtaken
+    (ClientLeft before RpcReceived, so that an RPC was sent on for a client that had left) or cancelled (a list whose
+    version counted as read was never queued). The queue is therefore unbounded. Its length is bounded by the senders:
+    one RPC for each connection, one end for each call-out or probe, one list for each call, and the decision loop runs
+    after each of their turns. Only datagrams have no such bound; they go through `enqueue_datagram`.
+    """
+    queue.send_nowait(message)
 
 
-def enqueue_datagram(queue: trio.MemorySendChannel[LoopEvent], told: interface.PeerFrame) -> None:
+def enqueue_datagram(queue: trio.MemorySendChannel[LoopEvent], frame: interface.PeerFrame) -> None:
+    """Queues a frame of a peer, or drops it if the queue holds MAX_QUEUED_DATAGRAMS messages already."""
     if queue.statistics().current_buffer_used < MAX_QUEUED_DATAGRAMS:
-        queue.send_nowait(told)
+        queue.send_nowait(frame)
--- a/oakfork/sockets/outcomes.py
+++ b/oakfork/sockets/outcomes.py
@@ -1,4 +1,4 @@
-"""Every way in which a connection can end, and what each means to the module."""
+"""Every way in which the use of a connection can end, and the status that each has in the decision module."""
 
 from enum import Enum, auto
 
@@ -8,21 +8,21 @@
 class Outcome(Enum):
     """How the use of a connection for one exchange ended."""
 
-    ANSWERED = auto()  # 200, whole
-    ERROR = auto()  # another answer, whole
-    TURNED_AWAY = auto()  # 503 or 504 with the mark that it never ran
-    NO_ROOM = auto()  # no descriptor left for one more connection
+    ANSWERED = auto()  # a complete answer with status 200
+    ERROR = auto()  # a complete answer with another status
+    TURNED_AWAY = auto()  # 503 or 504 with the header that says that the request never ran
+    NO_ROOM = auto()  # no descriptor was left for another connection
     REFUSED = auto()  # the connection was refused
-    NEVER_UP = auto()  # the connection did not come up in time
-    UNSENT = auto()  # it broke before the last byte was written
-    BROKEN = auto()  # it broke after that, before the whole answer
-    ENDED = auto()  # the other side ended it after that
-    MALFORMED = auto()  # what came is not HTTP
-    OVERSIZED = auto()  # what came is larger than the protocol allows
-    STALLED = auto()  # the answer began and did not go on
-    SILENT = auto()  # nothing came in time
-    GIVEN_UP = auto()  # this side gave it up
-    TOO_LATE = auto()  # what was decided did not hold any more before anything was written
+    NEVER_UP = auto()  # the connection was not established in time
+    UNSENT = auto()  # the connection broke before the last byte was written
+    BROKEN = auto()  # it broke after the last byte was written and before the complete answer
+    ENDED = auto()  # the other side closed it after the last byte was written and before the complete answer
+    MALFORMED = auto()  # the bytes received are not HTTP
+    OVERSIZED = auto()  # the message received is larger than the protocol allows
+    STALLED = auto()  # the answer began and did not continue
+    SILENT = auto()  # nothing was received in time
+    GIVEN_UP = auto()  # this side cancelled the exchange
+    TOO_LATE = auto()  # the decision was no longer valid before the first byte was written
 
 
 STATUS_OF_OUTCOME = {
--- a/oakfork/sockets/server_connections.py
+++ b/oakfork/sockets/server_connections.py
@@ -1,4 +1,4 @@
-"""Connections to the servers: call-outs and probes, each on a connection of its own while it lasts."""
+"""Connections to the servers, for call-outs and probes; each exchange has a connection to itself while it lasts."""
 
 import math
 from typing import Callable, Sequence
@@ -9,181 +9,217 @@
 from oakfork.errors import ConnectionFailedError
 from oakfork.sockets.configuration import Address
 from oakfork.sockets.exchange import CallOut
-from oakfork.sockets.http_connection import HttpConnection, HttpMessage, connect, pairs, request_head
+from oakfork.sockets.http_connection import HttpConnection, HttpMessage, connect, parse_pairs, request_head
 from oakfork.sockets.outcomes import Outcome
 
-# Seconds that a connection rests after an answer before it is used again: a second answer may come some milliseconds
-# late, and would be taken for the next one's.
+# Seconds that a connection rests after an answer before it is used again: a surplus second answer may come some
+# milliseconds late, and would be taken for the answer to the next request.
 REST = 0.05
-EARLY = 1.0  # seconds before the other side's idle limit at which a connection is no longer used
+IDLE_MARGIN = 1.0  # seconds before the other side's idle limit at which a connection is no longer used
+SWEEP_INTERVAL = 1.0  # seconds between sweeps of idle connections
+FADE = 0.9  # what a sweep leaves of the counts of IdleAges
 
 
-class Ages:
-    """How connections fared that were used again, by how long they had been idle: each row twice as long as the one
-    before, from a sixteenth of a second. Guards against networks and machines that drop idle connections without a
-    word, and sooner than they say: the request written to one is lost, and its server is held to be ill."""
+class IdleAges:
+    """How often reused connections broke, by how long they had been idle.
+
+    The classes of idle time begin at a sixteenth of a second, and each is twice as long as the one before. Guards
+    against networks and machines that drop idle connections silently and sooner than their stated limit: the request
+    written to such a connection is lost, and its server is taken to be faulty.
+    """
 
     def __init__(self) -> None:
-        self.rows = [[0.0, 0.0] for _ in range(10)]  # used, broken; emptied by fade
+        # Connections used and, of those, broken, for each class of idle time; lowered by fade.
+        self.rows = [[0.0, 0.0] for _ in range(10)]
 
-    def _row(self, age: float) -> list[float]:
-        return self.rows[min(len(self.rows) - 1, int(age * 16).bit_length())]
+    def _row(self, idle_time: float) -> list[float]:
+        return self.rows[min(len(self.rows) - 1, int(idle_time * 16).bit_length())]
 
-    def fit(self, age: float) -> bool:
-        used, broken = self._row(age)
+    def is_usable(self, idle_time: float) -> bool:
+        """Whether a connection that has been idle for so many seconds is likely to work."""
+        used, broken = self._row(idle_time)
         return broken < 2 or broken < used / 4  # one or two may have broken by chance
 
-    def note(self, age: float, broken: bool) -> None:
-        row = self._row(age)
+    def record(self, idle_time: float, broken: bool) -> None:
+        """Counts the use of a connection that had been idle for so many seconds."""
+        row = self._row(idle_time)
         row[0] += 1
         row[1] += broken
 
     def fade(self) -> None:
-        """Once a second: after some ten, what did not fare well is tried again."""
+        """Lowers the counts; called once a second. After some ten seconds a class that broke is tried again."""
         for row in self.rows:
-            row[:] = row[0] * 0.9, row[1] * 0.9
+            row[:] = row[0] * FADE, row[1] * FADE
 
 
 class ServerConnections:
-    """Idle connections by server, the last used first, and the number of all connections."""
+    """The idle connections to each server, and the number of all connections to servers.
+
+    `max_open` bounds the connections and `max_body` the bytes of an answer's body; the timeouts are seconds.
+    `load_report_names` are the values of a load report, in the order in which the decision module wants them.
+    """
 
     def __init__(
-        self, most: int, largest: int, connect_patience: float, idle_patience: float, names: Sequence[str]
+        self,
+        max_open: int,
+        max_body: int,
+        connect_timeout: float,
+        idle_timeout: float,
+        load_report_names: Sequence[str],
     ) -> None:
-        self.most, self.largest = most, largest
-        self.connect_patience = connect_patience
-        self.usable = max(0.0, idle_patience - EARLY)
-        self.names = [name.encode() for name in names]
+        self.max_open = max_open
+        self.max_body = max_body
+        self.connect_timeout = connect_timeout
+        self.max_idle = max(0.0, idle_timeout - IDLE_MARGIN)
+        self.load_report_names = [name.encode() for name in load_report_names]
         self.open = 0
-        self.ages = Ages()
-        self.eras: dict[int, int] = {}  # by the server's index: how often what runs there changed; no larger than
-        # the keeper's table of servers
-        self.idle: dict[int, list[tuple[float, HttpConnection]]] = {}  # by the server's index; emptied by run
+        self.idle_ages = IdleAges()
+        # By the server's index: how often the process that runs there has changed. It grows no larger than the
+        # decision loop's table of servers.
+        self.generations: dict[int, int] = {}
+        # By the server's index: since when each connection has been idle; the last used one is last. Swept by run.
+        self.idle: dict[int, list[tuple[float, HttpConnection]]] = {}
 
     async def call(
         self,
         server: int,
         address: Address,
-        head: Callable[[], h11.Request],
+        make_head: Callable[[], h11.Request],
         body: bytes = b"",
         call_out: CallOut | None = None,
     ) -> tuple[Outcome, HttpMessage | None]:
-        """One exchange with a server. Sends it once and never again; the connection is kept if it stays usable. A
-        call-out begins only while what was decided holds, and is written whole in its time or never. `head` makes the
-        request's head for its first byte."""
-        link, age, outcome, era = None, None, Outcome.GIVEN_UP, self.eras.get(server, 0)
+        """One exchange with a server: how it ended, and the answer if there is one.
+
+        Sends the request once and never again, and keeps the connection if it can be reused. A call-out begins only
+        while its decision is valid, and is written completely by its write deadline or never. `make_head` makes the
+        head just before its first byte is written.
+        """
+        connection = None
+        idle_time = None
+        outcome = Outcome.GIVEN_UP
+        generation = self.generations.get(server, 0)
         try:
             with trio.CancelScope(deadline=call_out.write_deadline if call_out else math.inf) as scope:
-                link, age = self._kept(server)
-                link = link or await self._new(address)
-                # Guards against a head that tells of time spent waiting for its connection: made now, not before.
-                request = _made(head)
-                # Guards against connections that come up late: they may lead to what runs there no more.
-                if era != self.eras.get(server, 0) or call_out and not call_out.begin():
+                connection, idle_time = self._reuse(server)
+                connection = connection or await self._new(address)
+                # Guards against a head that counts the wait for the connection as time left: it is made only now.
+                head = _make_head(make_head)
+                # Guards against connections that come up late: they may lead to a process that has been replaced.
+                if generation != self.generations.get(server, 0) or call_out and not call_out.begin():
                     raise ConnectionFailedError(Outcome.TOO_LATE)
-                await link.write(request, body)
+                await connection.write(head, body)
             if scope.cancelled_caught:
-                raise ConnectionFailedError(Outcome.UNSENT if link else Outcome.NEVER_UP)
-            message = await link.read(self.connect_patience)
-            # Guards against keeping a connection, in use when what runs there changed, under an index that stands for
-            # something else by now.
-            if link.renew() and era == self.eras.get(server, 0):
-                self.idle.setdefault(server, []).append((trio.current_time(), link))
-                link = None
-            outcome = _ending(message)
+                raise ConnectionFailedError(Outcome.UNSENT if connection else Outcome.NEVER_UP)
+            message = await connection.read(self.connect_timeout)
+            # Guards against keeping a connection to a process that was replaced while it was in use, under an index
+            # that stands for something else by now.
+            if connection.renew() and generation == self.generations.get(server, 0):
+                self.idle.setdefault(server, []).append((trio.current_time(), connection))
+                connection = None
+            outcome = _outcome_of(message)
             return outcome, message
-        except ConnectionFailedError as end:
-            outcome = end.outcome
+        except ConnectionFailedError as error:
+            outcome = error.outcome
             return outcome, None
         finally:
-            if age is not None and outcome is not Outcome.GIVEN_UP:
-                self.ages.note(age, outcome in (Outcome.UNSENT, Outcome.BROKEN, Outcome.ENDED))
-            if link is not None:
-                self._drop(link)
+            if idle_time is not None and outcome is not Outcome.GIVEN_UP:
+                self.idle_ages.record(idle_time, outcome in (Outcome.UNSENT, Outcome.BROKEN, Outcome.ENDED))
+            if connection is not None:
+                self._close(connection)
 
     async def probe(self, server: int, address: Address, with_load: bool) -> tuple[Outcome, HttpMessage | None]:
-        """A look at a server; it waits as long as for a connection."""
-        request = request_head("GET", "/-/load" if with_load else "/-/healthy", address)
-        with trio.CancelScope(deadline=trio.current_time() + self.connect_patience):
-            return await self.call(server, address, lambda: request)
+        """Asks a server for its health or its load report, within the timeout of a connection."""
+        head = request_head("GET", "/-/load" if with_load else "/-/healthy", address)
+        with trio.CancelScope(deadline=trio.current_time() + self.connect_timeout):
+            return await self.call(server, address, lambda: head)
         return Outcome.SILENT, None
 
-    def _kept(self, server: int) -> tuple[HttpConnection | None, float | None]:
-        """A connection, and how long it has been idle: the last used of those that have rested."""
-        kept, now, found = self.idle.get(server, []), trio.current_time(), (None, None)
+    def _reuse(self, server: int) -> tuple[HttpConnection | None, float | None]:
+        """An idle connection and how long it has been idle, in seconds: the last used of those that have rested."""
+        kept = self.idle.get(server, [])
+        now = trio.current_time()
+        found = (None, None)
         resting = [pair for pair in kept if now - pair[0] < REST]
         del kept[len(kept) - len(resting) :]
         while kept and found[0] is None:
-            since, link = kept.pop()
-            if now - since < self.usable and self.ages.fit(now - since) and link.is_reusable():
-                found = link, now - since
+            since, connection = kept.pop()
+            idle_time = now - since
+            if idle_time < self.max_idle and self.idle_ages.is_usable(idle_time) and connection.is_reusable():
+                found = connection, idle_time
             else:
-                self._drop(link)
+                self._close(connection)
         kept += resting
         return found
 
     async def _new(self, address: Address) -> HttpConnection:
-        if self.open >= self.most and not self._drop_oldest():
+        if self.open >= self.max_open and not self._close_oldest():
             raise ConnectionFailedError(Outcome.NO_ROOM)
         self.open += 1
         try:
-            return await connect(address, self.connect_patience, self.largest)
+            return await connect(address, self.connect_timeout, self.max_body)
         except BaseException:
             self.open -= 1
             raise
 
-    def _drop(self, link: HttpConnection) -> None:
+    def _close(self, connection: HttpConnection) -> None:
         self.open -= 1
-        link.close()
+        connection.close()
 
-    def _drop_oldest(self) -> bool:
+    def _close_oldest(self) -> bool:
+        """Closes the connection that has been idle longest; False if none is idle."""
         lists = [kept for kept in self.idle.values() if kept]
         if lists:
-            self._drop(min(lists, key=lambda kept: kept[0][0]).pop(0)[1])
+            self._close(min(lists, key=lambda kept: kept[0][0]).pop(0)[1])
         return bool(lists)
 
     def close_idle(self, server: int) -> None:
-        """What runs there has changed or is gone: no connection to it is used any more, those in use for no other."""
-        self.eras[server] = self.eras.get(server, 0) + 1
-        for _, link in self.idle.pop(server, ()):
-            self._drop(link)
+        """Closes the idle connections to a server whose process has changed or is gone.
+
+        Connections to it that are in use end with their exchange.
+        """
+        self.generations[server] = self.generations.get(server, 0) + 1
+        for _, connection in self.idle.pop(server, ()):
+            self._close(connection)
 
     async def run(self) -> None:
-        """Closes what has stood idle too long to be used again."""
+        """Closes connections that have been idle for too long to be used again."""
         while True:
-            await trio.sleep(EARLY)
-            self.ages.fade()
-            last = trio.current_time() - self.usable
+            await trio.sleep(SWEEP_INTERVAL)
+            self.idle_ages.fade()
+            idle_since = trio.current_time() - self.max_idle
             for server, kept in list(self.idle.items()):
-                while kept and kept[0][0] < last:
-                    self._drop(kept.pop(0)[1])
+                while kept and kept[0][0] < idle_since:
+                    self._close(kept.pop(0)[1])
                 if not kept:
                     del self.idle[server]
 
     def load(self, message: HttpMessage | None, probe: bool = False) -> tuple[float, ...]:
-        """The load report, in the settings' order; empty if there is none. A probe may have it as its body."""
-        if message is None or not self.names:
+        """The load report of an answer, in the order of the settings; empty if there is none or it is incomplete.
+
+        The answer to a probe may have it as its body.
+        """
+        if message is None or not self.load_report_names:
             return ()
         text = message.header(b"x-pressure") or (message.body if probe else b"")
         if not text:
             return ()
         try:
-            values = {name: float(value) for name, value in pairs(text)}
+            values = {name: float(value) for name, value in parse_pairs(text)}
         except ValueError:
             return ()
-        if not all(name in values for name in self.names):
+        if not all(name in values for name in self.load_report_names):
             return ()
-        return tuple(values[name] for name in self.names)
+        return tuple(values[name] for name in self.load_report_names)
 
 
-def _made(head: Callable[[], h11.Request]) -> h11.Request:
+def _make_head(make_head: Callable[[], h11.Request]) -> h11.Request:
     try:
-        return head()
-    except h11.LocalProtocolError:  # not to be said to any server: none is to blame
+        return make_head()
+    except h11.LocalProtocolError:  # it can't be sent to any server, so that no server is at fault
         raise ConnectionFailedError(Outcome.TOO_LATE) from None
 
 
-def _ending(message: HttpMessage) -> Outcome:
+def _outcome_of(message: HttpMessage) -> Outcome:
     status = message.head.status_code
     if status == 200:
         return Outcome.ANSWERED
--- a/tests/test_callouts.py
+++ b/tests/test_callouts.py
@@ -73,7 +73,7 @@
     def play(self, test):
         async def main():
             self.queue, inbox = trio.open_memory_channel(math.inf)
-            self.servers = ServerConnections(50, LARGEST_BODY, self.here.connect_patience, 15.0, ())
+            self.servers = ServerConnections(50, LARGEST_BODY, self.here.connect_timeout, 15.0, ())
             async with trio.open_nursery() as nursery:
                 self.keeper = DecisionLoop(
                     self.here, inbox, self.queue, self.servers, None, None, None, nursery, structlog.get_logger()
@@ -325,7 +325,7 @@
         links = [HttpConnection(_open(), h11.CLIENT) for _ in range(3)]
         servers.open, now = 3, trio.current_time()
         servers.idle[0] = [(now - REST * 2, links[0]), (now - REST * 1.5, links[1]), (now - REST / 2, links[2])]
-        assert servers._kept(0)[0] is links[1] and servers._kept(0)[0] is links[0] and servers._kept(0)[0] is None
+        assert servers._reuse(0)[0] is links[1] and servers._reuse(0)[0] is links[0] and servers._reuse(0)[0] is None
         assert servers.idle[0] == [(now - REST / 2, links[2])]
 
     def _open():
--- a/tests/test_closes.py
+++ b/tests/test_closes.py
@@ -14,7 +14,7 @@
 from fake_services import echo, request_bytes, rpc, settings, surroundings, until
 
 from oakfork.sockets import configuration
-from oakfork.sockets.client_connections import IDLE, LINGERING, ClientConnection, ClientConnections
+from oakfork.sockets.client_connections import IDLE_TIMEOUT, LINGER_TIMEOUT, ClientConnection, ClientConnections
 from oakfork.sockets.exchange import Answer
 from oakfork.sockets.messages import ClientLeft, RpcReceived
 
@@ -59,7 +59,7 @@
         sock.sendall(request_bytes(**{"X-Txn": "1"}))
         assert b"made for 1 " in sock.recv(65536)
         begun = time.monotonic()
-        assert sock.recv(1) == b"" and time.monotonic() - begun < IDLE + 1  # the gateway has ended its sending
+        assert sock.recv(1) == b"" and time.monotonic() - begun < IDLE_TIMEOUT + 1  # the gateway has ended its sending
         sock.sendall(request_bytes(**{"X-Txn": "2"}))  # on its way in that very moment
         time.sleep(0.1)
         sock.sendall(request_bytes(**{"X-Txn": "3"})[:-9])
@@ -86,7 +86,7 @@
         assert len(os.listdir(f"/proc/{w.process.pid}/fd")) < 170
         begun = time.monotonic()
         assert all(rpc(w.at)[0] == 200 for _ in range(5))
-        assert time.monotonic() - begun < LINGERING, "they make room for others"
+        assert time.monotonic() - begun < LINGER_TIMEOUT, "they make room for others"
         assert until(lambda: len(os.listdir(f"/proc/{w.process.pid}/fd")) < 40), "they linger for a bounded time"
         for sock in held:
             sock.close()
@@ -146,7 +146,7 @@
                     sock.settimeout(2)
                     assert (await trio.to_thread.run_sync(rest, sock)).startswith(b"HTTP/1.1 503")
                     sock.close()
-                with trio.fail_after(LINGERING + 1):
+                with trio.fail_after(LINGER_TIMEOUT + 1):
                     await clients.empty.wait()
 
     trio.run(main)
@@ -163,11 +163,11 @@
                     data = request_bytes()
                     theirs.sendall(data[:-2])
                     await client.link.fill()
-                    client._go_on()
+                    client._process_received()
                     assert client.scope.deadline < math.inf
                     if whole:
                         theirs.sendall(data[-2:])
-                    assert client._last_look() is whole
+                    assert client._receive_at_timeout() is whole
                     if whole:
                         assert isinstance(inbox.receive_nowait(), RpcReceived) and client.scope.deadline == math.inf
                     else:
@@ -190,12 +190,12 @@
                     theirs.sendall(b"GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n" + request_bytes()[:-2])
                     client._take = lambda message: client._write(Answer(200, bytes(100_000)))
                     await client.link.fill()
-                    client._go_on()
-                    assert client.behind and client.link.buffered
+                    client._process_received()
+                    assert client.writing and client.link.buffered
                     theirs.sendall(b"X")
                     await client.link.fill()
-                    client._go_on()
-                    assert client.scope.deadline == math.inf and client._last_look()
+                    client._process_received()
+                    assert client.scope.deadline == math.inf and client._receive_at_timeout()
                     nursery.cancel_scope.cancel()
                     ours.close()
 
@@ -291,7 +291,7 @@
                 left = await inbox.receive()
                 assert isinstance(left, ClientLeft) and left.exchange is came.exchange
                 came.exchange.answer(None)  # to nobody
-                assert not clients.ids
+                assert not clients.unanswered
                 nursery.cancel_scope.cancel()
 
     trio.run(main)
--- a/tests/test_decision_loop.py
+++ b/tests/test_decision_loop.py
@@ -100,8 +100,8 @@
             )
             exchange = Exchange(
                 HttpMessage(head, b""),
-                kept.here.names,
-                kept.here.settings,
+                kept.configuration.names,
+                kept.configuration.settings,
                 lambda answer: statuses.append(answer.status),
             )
             await queue.send(RpcReceived(exchange))
@@ -169,8 +169,8 @@
             ends.append(ending)
             await trio.sleep(pause)
         for _ in range(30):
-            servers.ages.fade()
-        assert servers.ages.fit(0.3)
+            servers.idle_ages.fade()
+        assert servers.idle_ages.is_usable(0.3)
 
     before, ends = {}, []
     server = FakeService(act)
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -28,7 +28,7 @@
     values = dict(
         discovery=address,
         known={"version": 1},
-        connect_patience=0.25,
+        connect_timeout=0.25,
         settings=SimpleNamespace(subscribes_to_list=False, seed=5),
     )
     return SimpleNamespace(**(values | more))
@@ -193,7 +193,7 @@
     async def main(kind_of, length):
         back[0] = trio.current_time() + length
         queue, inbox = trio.open_memory_channel(math.inf)
-        here = here_of(("127.0.0.1", 1), connect_patience=patience)
+        here = here_of(("127.0.0.1", 1), connect_timeout=patience)
         with trio.move_on_after(length + 8):
             await watches.DiscoveryClient(here, queue, structlog.get_logger()).run()
         return told[0] - back[0]
@@ -229,5 +229,5 @@
         pauses.append(now - refused)
         commands = module.handle(now, interface.ServerList(False, True, ()))
     # A connection that is slow to come up, and a call that waits, are still to come.
-    most = (watches.TOLD - watches.UP - watches.HOLD - watches.PROMPT) * SECOND
+    most = (watches.TOLD - watches.CONNECT_TIMEOUT - watches.HOLD - watches.ANSWER_TIMEOUT) * SECOND
     assert max(pauses) < most and (patience < SECOND or max(pauses) > SECOND)
--- a/tests/test_lists.py
+++ b/tests/test_lists.py
@@ -90,7 +90,7 @@
         async def refused():
             times.append(trio.current_time())
             if len(times) == 12:  # one that succeeds and then breaks
-                watcher.pause = watches.PAUSE
+                watcher.pause = watches.SHORTEST_PAUSE
             raise ConnectionFailedError(Outcome.ERROR)
 
         monkeypatch.setattr(watcher, "_watch", refused)
@@ -101,7 +101,7 @@
     one, two = (trio.run(asked, seed, clock=trio.testing.MockClock(autojump_threshold=0)) for seed in (1, 2))
     for pauses in (one, two):
         for number, pause in enumerate(pauses):
-            longest = min(watches.LONGEST_PAUSE, watches.PAUSE * 2 ** (number if number < 11 else number - 11))
+            longest = min(watches.LONGEST_PAUSE, watches.SHORTEST_PAUSE * 2 ** (number if number < 11 else number - 11))
             assert longest / 2 <= pause <= longest + 1e-6
         assert len(pauses) > 18 and max(pauses) > 2
     assert all(abs(a - b) > 1e-4 for a, b in zip(one, two, strict=False))
@@ -169,7 +169,7 @@
         here = SimpleNamespace(
             discovery=("127.0.0.1", 1),
             known={"version": 1},
-            connect_patience=0.25,
+            connect_timeout=0.25,
             settings=SimpleNamespace(subscribes_to_list=False, seed=5),
         )
         monkeypatch.setattr(watches, "connect", connect)
@@ -180,7 +180,7 @@
     trio.run(watch, clock=trio.testing.MockClock(autojump_threshold=0))
     assert len(silences) > 8
     taken_up = [min(at for at in attempts if at > silence) - silence for silence in silences if attempts[-1] > silence]
-    assert max(taken_up) > watches.HOLD + watches.PROMPT + 1  # the pause had grown
+    assert max(taken_up) > watches.HOLD + watches.ANSWER_TIMEOUT + 1  # the pause had grown
     assert max(taken_up) + 0.25 < 6.0 - 0.25  # with a new connection and the way of the news
 
 
--- a/tests/test_page_lists.py
+++ b/tests/test_page_lists.py
@@ -218,7 +218,7 @@
         async def main():
             self.queue, inbox = trio.open_memory_channel(math.inf)
             log = structlog.get_logger()
-            self.servers = ServerConnections(50, LARGEST_BODY, self.here.connect_patience, 15.0, ())
+            self.servers = ServerConnections(50, LARGEST_BODY, self.here.connect_timeout, 15.0, ())
             self.discovery = DiscoveryClient(self.here, self.queue, log)
             async with trio.open_nursery() as nursery:
                 self.keeper = DecisionLoop(
@@ -258,11 +258,11 @@
             text = json.dumps(json.loads(play.path.read_text()) | {"discovery": f"127.0.0.1:{NEW}"})
             if half:
                 play.path.write_text(text[: len(text) // 2])
-                nursery.start_soon(gateway._turn, play.discovery, None, structlog.get_logger())
+                nursery.start_soon(gateway._reload, play.discovery, None, structlog.get_logger())
                 await trio.sleep(half)
             play.path.write_text(text)
             if not half:
-                await gateway._turn(play.discovery, None, structlog.get_logger())
+                await gateway._reload(play.discovery, None, structlog.get_logger())
 
         play.agents[NEW], counts = new, {}
         async with trio.open_nursery() as nursery:
--- a/tests/test_readiness.py
+++ b/tests/test_readiness.py
@@ -51,8 +51,8 @@
 
 def test_signals_are_held_before_anything_large_is_loaded():
     before = set(loaded("pass"))
-    assert {name for name in set(loaded("from oakfork import early")) - before if "." in name} <= {
+    assert {name for name in set(loaded("from oakfork import early_signals")) - before if "." in name} <= {
         "oakfork.early_signals"
     }
     main = (ROOT / "oakfork/__main__.py").read_text()
-    assert main.index("early.hold()") < main.index("from oakfork.serving")
+    assert main.index("early_signals.install_handlers()") < main.index("from oakfork.serving")
--- a/tests/test_scale_process.py
+++ b/tests/test_scale_process.py
@@ -52,7 +52,7 @@
         path = written(tmp_path, told)
         with (
             process_costs.child(path) as child,
-            pytest.raises(DrillProcessError, match="an address of its own can't be had"),
+            pytest.raises(DrillProcessError, match="listen address not available"),
         ):
             process_costs.wait_ready(child, told["listen"], process_costs.log_of(path))
 
