--- a/oakfork/serving.py
+++ b/oakfork/serving.py
@@ -27,7 +27,7 @@
 
 
 def serve() -> None:
-    """Serves until the process is told to end; exits with a message if the configuration can't be used."""
+    """Serves until a signal ends the process; exits with a message if the configuration can't be used."""
     try:
         gateway_configuration = configuration.read_configuration(os.environ)
     except ConfigurationError as error:
--- a/oakfork/sockets/counter_client.py
+++ b/oakfork/sockets/counter_client.py
@@ -23,7 +23,7 @@
         self.queue = queue
         self.address = configuration.counter
         self.address_changed = False  # since the connection was established
-        # Calls that are not written yet, and until when on trio's clock; each is taken in turn, in time or not.
+        # Calls that are not written yet, and until when a reply is waited for, on trio's clock.
         self.calls: deque[tuple[interface.AddToCounter, float]] = deque()
         self.call_added = trio.Event()
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -9,5 +9,6 @@
 
 
 @pytest.fixture
-def world(tmp_path):
-    return lambda *acts, **more: GatewayProcess(tmp_path, acts, **more)
+def start_gateway(tmp_path):
+    """A function that prepares a GatewayProcess; it takes the answering functions of the servers."""
+    return lambda *acts, **changes: GatewayProcess(tmp_path, acts, **changes)
--- a/tests/fake_services.py
+++ b/tests/fake_services.py
@@ -1,4 +1,4 @@
-"""Stand-ins for the parties beside a gateway, and the program started before them."""
+"""Fake servers and a fake discovery agent, gateway processes in front of them, and requests to a gateway."""
 
 import http.client
 import json
@@ -17,41 +17,55 @@
 from oakfork.sockets import configuration
 
 CUSTOMER = "00000000b4d65521"
-http.client._MAXHEADERS = 2000  # of the stand-ins, which take a hundred otherwise
+http.client._MAXHEADERS = 2000  # of the fake servers; http.client allows a hundred by default
 
 
 class FakeService(ThreadingHTTPServer):
-    """A party beside the gateway; `act` answers a request, and `seen` has what came whole."""
+    """An HTTP service beside the gateway.
+
+    `act(handler, body)` answers a request. `seen` holds method, path, headers and body of each complete request.
+    """
 
     daemon_threads = True
     request_queue_size = 64
 
     def __init__(self, act):
-        self.act, self.seen, self.lock = act, [], threading.Lock()
+        self.act = act
+        self.seen = []
+        self.lock = threading.Lock()
         super().__init__(("127.0.0.1", 0), Handler)
         self.address = "127.0.0.1:%d" % self.server_address[1]
         threading.Thread(target=self.serve_forever, args=(0.05,), daemon=True).start()
 
     def handle_error(self, request, client_address):
-        pass  # gateways break connections on purpose
+        """Ignores broken connections: gateways break some on purpose."""
+
+    def stop(self):
+        """Stops serving and closes the listener."""
+        self.shutdown()
+        self.server_close()
 
 
 class Handler(BaseHTTPRequestHandler):
+    """Records a request and has the service's `act` answer it."""
+
     protocol_version = "HTTP/1.1"
     disable_nagle_algorithm = True
 
-    def do_GET(self):
+    def do_GET(self):  # noqa: N802 - http.server looks methods up by this name
+        """Handles a request of any method."""
         body = self.rfile.read(int(self.headers.get("Content-Length", 0)))
         with self.server.lock:
             self.server.seen.append((self.command, self.path, dict(self.headers), body))
         self.server.act(self, body)
 
-    do_POST = do_PUT = do_GET
+    do_POST = do_PUT = do_GET  # noqa: N815 - http.server looks methods up by these names
 
     def log_message(self, *args):
-        pass
+        """Logs nothing."""
 
     def reply(self, status, body=b"", **headers):
+        """Sends a complete response; underscores in names of headers stand for hyphens."""
         self.send_response(status)
         for name, value in headers.items():
             self.send_header(name.replace("_", "-"), value)
@@ -61,27 +75,33 @@
 
 
 class FakeDiscovery(FakeService):
-    """An agent that tells one list, and changes of it to those who watch."""
+    """A discovery agent with one list of servers, which answers watches when the list changes."""
 
     def __init__(self, servers):
-        self.version, self.servers, self.changed = 1, servers, threading.Condition()
-        super().__init__(self.tell)
-
-    def tell(self, handler, _):
-        asked = re.search(r"from=(\d+)&hold_ms=(\d+)", handler.path)
+        self.version = 1
+        self.servers = servers
+        self.changed = threading.Condition()
+        super().__init__(self.serve_list)
+
+    def serve_list(self, handler, _):
+        """Answers a request for the list; a watch waits until there is a newer version or its time is over."""
+        watch = re.search(r"from=(\d+)&hold_ms=(\d+)", handler.path)
         with self.changed:
-            if asked:
-                self.changed.wait_for(lambda: self.version > int(asked[1]), int(asked[2]) / 1000)
-            told = {"version": self.version, "full": not asked, "servers": self.servers}
-        handler.reply(200, json.dumps(told).encode())
+            if watch:
+                self.changed.wait_for(lambda: self.version > int(watch[1]), int(watch[2]) / 1000)
+            document = {"version": self.version, "full": not watch, "servers": self.servers}
+        handler.reply(200, json.dumps(document).encode())
 
     def change(self, servers):
+        """Replaces the list by a new version."""
         with self.changed:
-            self.version, self.servers = self.version + 1, servers
+            self.version += 1
+            self.servers = servers
             self.changed.notify_all()
 
 
-def entry(number, address, **more):
+def entry(number, address, **changes):
+    """A server of a list in the format of discovery."""
     return {
         "id": f"s-{number:08x}",
         "addr": address,
@@ -91,23 +111,25 @@
         "state": "up",
         "weight": 1.0,
         "started_ms": 0,
-    } | more
-
-
-def settings(gateways=1, index=0, aim=1000.0, **more):
-    def method(name, effect, **rest):
-        return {
-            "name": name,
-            "aim-ms": aim,
-            "deadline-ms": 2 * aim,
-            "effect": effect,
-            "group": "cell",
-            "key-ttl-ms": 5000.0,
-            "value": 1.0,
-            "late-worth": 0.0,
-            "streamed": False,
-        } | rest
+    } | changes
 
+
+def _method(name, effect, aim):
+    return {
+        "name": name,
+        "aim-ms": aim,
+        "deadline-ms": 2 * aim,
+        "effect": effect,
+        "group": "cell",
+        "key-ttl-ms": 5000.0,
+        "value": 1.0,
+        "late-worth": 0.0,
+        "streamed": False,
+    }
+
+
+def settings(gateways=1, index=0, aim=1000.0, **changes):
+    """The settings of a configuration; `aim` is the soft deadline of all methods in milliseconds."""
     return {
         "balancers": gateways,
         "index": index,
@@ -115,7 +137,11 @@
         "zone": 0,
         "tick-ms": 4.0,
         "discovery": "automatic",
-        "classes": [method("read", "read_like"), method("seal", "idempotency_key"), method("hand", "unsafe")],
+        "classes": [
+            _method("read", "read_like", aim),
+            _method("seal", "idempotency_key", aim),
+            _method("hand", "unsafe", aim),
+        ],
         "tiers-of-service": [
             {"name": "basic", "refill": 0.1, "peak-units": 5.0},
             {"name": "free", "refill": 0.0, "peak-units": 0.0},
@@ -133,15 +159,16 @@
         "specifics": {"mail-per-s": 100.0, "units-top": 2, "shared-counter": True, "count-limit-ms": 200.0},
         "invariants": {"stop-sending-within-ms": 500.0},
         "stats": {"how": "off", "names": []},
-    } | more
+    } | changes
 
 
 def free_port(kind=socket.SOCK_STREAM):
-    """An address of this test worker's alone: its process's block of ports, which no other process gets."""
+    """An address from this test process's block of ports, which no other test process uses."""
     return text(free_addresses(1, kind)[0])
 
 
-def told(discovery, servers, **more):
+def configuration_document(discovery, servers, **changes):
+    """A complete configuration with a free address to listen on."""
     return {
         "name": "n0",
         "listen": free_port(),
@@ -152,21 +179,35 @@
         "counter": "127.0.0.1:9",
         "known": {"version": 1, "full": True, "servers": servers},
         "settings": settings(),
-    } | more
+    } | changes
+
+
+def environment_without_settings():
+    """The environment of the tests without the variables that configure a gateway."""
+    return {key: value for key, value in os.environ.items() if not key.startswith("LB_")}
+
+
+def is_ready(address):
+    """Whether the gateway at an address answers and is ready."""
+    with suppress(OSError):
+        return rpc(address, path="/-/ready")[0] == 200
+    return False
 
 
 @contextmanager
-def started(folder, configuration_told, **variables):
-    """The program, ready; asserts that it has not ended by itself. `variables`: more of its environment."""
-    path = folder / f"{configuration_told['name']}.json"
-    path.write_text(json.dumps(configuration_told))
-    environment = {key: value for key, value in os.environ.items() if not key.startswith("LB_")}
-    variables = environment | {"LB_CONFIG": str(path)} | variables
-    process = subprocess.Popen([sys.executable, "-m", "oakfork"], env=variables)
+def started(folder, document, **variables):
+    """A gateway process that is ready; asserts that it does not fail by itself.
+
+    `document` is its configuration and `variables` are added to its environment.
+    """
+    path = folder / f"{document['name']}.json"
+    path.write_text(json.dumps(document))
+    environment = environment_without_settings() | {"LB_CONFIG": str(path)} | variables
+    process = subprocess.Popen([sys.executable, "-m", "oakfork"], env=environment)
     try:
         for _ in range(200):
             try:
-                if rpc(configuration_told["listen"], path="/-/ready")[0] == 200:
+                if rpc(document["listen"], path="/-/ready")[0] == 200:
                     break
             except OSError:
                 time.sleep(0.05)
@@ -178,15 +219,21 @@
 
 
 class GatewayProcess:
-    """One gateway before a few servers."""
+    """A gateway process with a fake server for each function of `acts`, and a fake discovery agent.
+
+    `states` changes rows of the server list, as pairs of a server's number and the changed keys.
+    """
 
-    def __init__(self, folder, acts, states=(), **more):
+    def __init__(self, folder, acts, states=(), **changes):
         self.servers = [FakeService(act) for act in acts]
-        self.list = [entry(i, server.address, **dict(states).get(i, {})) for i, server in enumerate(self.servers)]
-        self.discovery = FakeDiscovery(self.list)
-        self.told = told(self.discovery.address, self.list, **more)
-        self.at = self.told["listen"]
-        self.folder, self.context = folder, started(folder, self.told)
+        self.rows = [
+            entry(number, server.address, **dict(states).get(number, {})) for number, server in enumerate(self.servers)
+        ]
+        self.discovery = FakeDiscovery(self.rows)
+        self.document = configuration_document(self.discovery.address, self.rows, **changes)
+        self.address = self.document["listen"]
+        self.folder = folder
+        self.context = started(folder, self.document)
 
     def __enter__(self):
         self.process = self.context.__enter__()
@@ -194,63 +241,71 @@
 
     def __exit__(self, *error):
         self.context.__exit__(*error)
-        for party in (*self.servers, self.discovery):
-            party.shutdown()
-            party.server_close()
+        self.stop_services()
+
+    def stop_services(self):
+        """Stops the fake services."""
+        for service in (*self.servers, self.discovery):
+            service.stop()
 
-    def seen(self):
+    def requests(self):
+        """All requests that the servers have received."""
         return [request for server in self.servers for request in server.seen]
 
 
-def connection(at):
-    return http.client.HTTPConnection(*configuration.parse_address(at), timeout=5)
+def connection(address):
+    """An HTTP client's connection to an address."""
+    return http.client.HTTPConnection(*configuration.parse_address(address), timeout=5)
 
 
-def headers(lane="read", tier="free", **more):
+def headers(lane="read", tier="free", **changes):
+    """The headers of an RPC; underscores in names of changed ones stand for hyphens."""
     return {
         "X-Txn": "%016x" % random.getrandbits(64),
         "X-Lane": lane,
         "X-Tier": tier,
         "X-Remaining-Ms": "1500",
         "X-Call-Terms": "units=1,spread=1,first=0",
-    } | {key.replace("_", "-"): value for key, value in more.items()}
+    } | {key.replace("_", "-"): value for key, value in changes.items()}
 
 
-def rpc(at, method="GET", path=f"/api?client={CUSTOMER}", body=None, link=None, **more):
-    link = link or connection(at)
-    link.request(method, path, body, headers(**more))
+def rpc(address, method="GET", path=f"/api?client={CUSTOMER}", body=None, link=None, **changes):
+    """Sends an RPC, on a new connection if `link` is none; returns status, body and headers of the answer."""
+    link = link or connection(address)
+    link.request(method, path, body, headers(**changes))
     answer = link.getresponse()
     return answer.status, answer.read(), answer.headers
 
 
 def echo(handler, body):
+    """Answers with the id of the RPC and its body."""
     handler.reply(200, b"made for " + handler.headers["X-Txn"].encode() + b" " + body)
 
 
-def raw(at, data, answers=1):
-    """What comes back for some bytes, until so many answers have come whole or the other side ends."""
-    with closing(socket.create_connection(configuration.parse_address(at), timeout=8)) as sock:
-        got = b""
+def raw(address, data, answers=1):
+    """Sends bytes; returns what comes until so many answers are complete or the other side ends."""
+    with closing(socket.create_connection(configuration.parse_address(address), timeout=8)) as sock:
+        received = b""
         with suppress(ConnectionError):
             sock.sendall(data)
         with suppress(ConnectionError):
-            while got.count(b"HTTP/1.1 ") < answers or not whole(got):
+            while received.count(b"HTTP/1.1 ") < answers or not is_complete(received):
                 more = sock.recv(65536)
                 if not more:
                     break
-                got += more
-        return got
+                received += more
+        return received
 
 
-def whole(got):
-    """Whether the last answer in these bytes is."""
-    head, _, body = got[got.rindex(b"HTTP/1.1 ") :].partition(b"\r\n\r\n")
+def is_complete(received):
+    """Whether the last answer in these bytes is complete."""
+    head, _, body = received[received.rindex(b"HTTP/1.1 ") :].partition(b"\r\n\r\n")
     length = re.search(rb"content-length: (\d+)", head)
     return length is not None and len(body) == int(length[1])
 
 
 def until(condition):
-    """Waits for what is expected within a moment."""
+    """Waits up to five seconds for a condition; returns whether it came true."""
     for _ in range(100):
         if condition():
             return True
@@ -259,12 +314,14 @@
 
 
 def request_bytes(**changes):
+    """The bytes of an RPC without a body; a header that is changed to None is left out."""
     fields = {"X-Txn": "1", "X-Lane": "read", "X-Tier": "free", "X-Remaining-Ms": "500"} | changes
     lines = [f"{name}: {value}" for name, value in fields.items() if value is not None]
     return "\r\n".join(["GET /api?client=%s HTTP/1.1" % CUSTOMER, "Host: a", *lines, "", ""]).encode()
 
 
-def surroundings(tmp_path, **more):
+def read_test_configuration(tmp_path, **changes):
+    """A GatewayConfiguration read from a file, with a discovery agent that nobody runs."""
     path = tmp_path / "here.json"
-    path.write_text(json.dumps(told("127.0.0.1:9", [], **more)))
+    path.write_text(json.dumps(configuration_document("127.0.0.1:9", [], **changes)))
     return configuration.read_configuration({"LB_CONFIG": str(path)})
--- a/tests/test_any_bytes.py
+++ b/tests/test_any_bytes.py
@@ -1,5 +1,8 @@
-"""Any bytes, at any moment, on the sockets of clients, servers and discovery: an answer or a close in bounded
-time, no crash, nothing lost beside it, nothing left held. (Frames of peers: test_peer_links.py.)"""
+"""Corrupted bytes on the sockets of clients, servers and discovery.
+
+There must be an answer or a close in bounded time, no crash, nothing lost beside it, and nothing left open. Frames of
+peers are tested in test_peer_links.py.
+"""
 
 import os
 import random
@@ -10,13 +13,12 @@
 from contextlib import suppress
 
 import pytest
+from client_sockets import open_socket
 from fake_services import CUSTOMER, connection, echo, headers, raw, request_bytes, rpc, settings, until
 
-from oakfork.sockets import configuration
-
 
-def spoilt(chance, data):
-    """A message with some bytes changed, cut off, doubled or put in."""
+def corrupted(chance, data):
+    """A message with some bytes changed, cut off, doubled or inserted."""
     data = bytearray(data)
     for _ in range(chance.randrange(1, 5)):
         at = chance.randrange(len(data) + 1)
@@ -32,36 +34,43 @@
     return bytes(data)
 
 
-def held_by(process):
+def open_descriptors(process):
+    """The number of file descriptors that a process has open."""
     return len(os.listdir(f"/proc/{process.pid}/fd"))
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_any_bytes_of_clients(world, seed):
-    """Spoilt requests in pieces, ended by a half-close, a reset, a close or nothing; good ones beside are answered."""
+def test_corrupted_requests_end_in_time_and_disturb_no_other_client(start_gateway, seed):
+    """Guards against crashes, leaks and lost RPCs of others.
+
+    Corrupted requests come in pieces and end with a half-close, a reset, a close or nothing, while valid requests
+    beside them are answered.
+    """
     chance = random.Random(seed)
 
-    def good():
-        link = connection(w.at)
+    def send_valid_requests():
+        link = connection(gateway.address)
         while not over.is_set():
             try:
-                answers.append(rpc(w.at, link=link, X_Txn="%x" % random.getrandbits(60))[0])
+                answers.append(rpc(gateway.address, link=link, X_Txn="%x" % random.getrandbits(60))[0])
             except (ConnectionError, OSError):
-                link = connection(w.at)  # a close that crossed
+                link = connection(gateway.address)  # the close crossed the request
                 crossed.append(1)
             time.sleep(0.01)
 
-    over, answers, crossed = threading.Event(), [], []
-    # Connections to servers are kept for a second, not for fourteen: what is held in the end is what was left behind,
-    # not how many RPCs there were at once (a quick machine had 18 of these, of 30 that are allowed in all).
+    over = threading.Event()
+    answers = []
+    crossed = []
+    # Connections to servers are kept for a second, not for fourteen, so that descriptors that are open in the end are
+    # leaks and don't depend on how many RPCs ran at once (up to 18 on a quick machine, of 30 descriptors in all).
     limits = settings()["limits"] | {"conn-idle-ms": 2000.0}
-    with world(echo, echo, settings=settings(limits=limits)) as w:
-        thread = threading.Thread(target=good)
+    with start_gateway(echo, echo, settings=settings(limits=limits)) as gateway:
+        thread = threading.Thread(target=send_valid_requests)
         thread.start()
         socks = []
         for number in range(150):
-            sock = socket.create_connection(configuration.parse_address(w.at), timeout=5)
-            data = spoilt(chance, request_bytes(**{"X-Txn": f"{seed}-{number}"}) * chance.choice((1, 1, 3)))
+            sock = open_socket(gateway.address)
+            data = corrupted(chance, request_bytes(**{"X-Txn": f"{seed}-{number}"}) * chance.choice((1, 1, 3)))
             cut = chance.randrange(len(data) + 1)
             with suppress(ConnectionError):
                 sock.sendall(data[:cut])
@@ -85,49 +94,55 @@
         over.set()
         thread.join()
         assert set(answers) <= {200} and len(answers) > 20 and len(crossed) <= 2
-        assert until(lambda: held_by(w.process) < 30)
+        assert until(lambda: open_descriptors(gateway.process) < 30)
 
 
-def test_a_request_that_trickles_is_ended_in_its_time(world):
-    with world(echo) as w, socket.create_connection(configuration.parse_address(w.at), timeout=5) as sock:
-        begun, got = time.monotonic(), b""
+def test_request_that_comes_byte_by_byte_ends_at_its_timeout(start_gateway):
+    """Guards against a timeout that begins anew with each byte."""
+    with (
+        start_gateway(echo) as gateway,
+        open_socket(gateway.address) as sock,
+    ):
+        begun = time.monotonic()
+        received = b""
         sock.settimeout(0.05)
         for byte in request_bytes(**{"X-Pad": "x" * 200}):
             with suppress(ConnectionError):
                 sock.send(bytes([byte]))
             with suppress(TimeoutError):
-                got += sock.recv(4096)
-            if got:
+                received += sock.recv(4096)
+            if received:
                 break
-        assert got.startswith(b"HTTP/1.1 408") and 1.8 < time.monotonic() - begun < 3 and not w.seen()
+        assert received.startswith(b"HTTP/1.1 408") and 1.8 < time.monotonic() - begun < 3 and not gateway.requests()
 
 
 @pytest.mark.parametrize("seed", range(2))
-def test_any_bytes_of_servers_and_discovery(world, seed):
+def test_corrupted_answers_of_servers_and_discovery_end_in_time(start_gateway, seed):
+    """Guards against crashes, leaks and late answers when servers and discovery send corrupted messages."""
     chance = random.Random(seed)
 
-    def spoils(handler, body):
-        answer = b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nmade for "
-        handler.wfile.write(spoilt(chance, answer))
+    def answer(handler, body):
+        valid = b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nmade for "
+        handler.wfile.write(corrupted(chance, valid))
         handler.close_connection = chance.random() < 0.5
 
-    def spoils_lists(handler, body):
+    def answer_list(handler, body):
         handler.wfile.write(
-            spoilt(
+            corrupted(
                 chance, b"HTTP/1.1 200 OK\r\nContent-Length: 41\r\n\r\n" b'{"version":2,"full":false,"servers":[{}]}'
             )
         )
         handler.close_connection = True
 
-    with world(spoils, spoils) as w:
-        w.discovery.act = spoils_lists
+    with start_gateway(answer, answer) as gateway:
+        gateway.discovery.act = answer_list
         for number in range(60):
             begun = time.monotonic()
-            link = connection(w.at)
-            asked = headers(X_Txn=f"{seed}-{number}", X_Remaining_Ms="300")
-            link.request("GET", f"/api?client={CUSTOMER}", None, asked)
-            answer = link.getresponse()
-            assert answer.status in (200, 502, 503) and time.monotonic() - begun < 0.9
+            link = connection(gateway.address)
+            fields = headers(X_Txn=f"{seed}-{number}", X_Remaining_Ms="300")
+            link.request("GET", f"/api?client={CUSTOMER}", None, fields)
+            response = link.getresponse()
+            assert response.status in (200, 502, 503) and time.monotonic() - begun < 0.9
             link.close()
-        assert raw(w.at, b"GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n").startswith(b"HTTP/1.1 200")
-        assert held_by(w.process) < 60 and w.process.poll() is None
+        assert raw(gateway.address, b"GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n").startswith(b"HTTP/1.1 200")
+        assert open_descriptors(gateway.process) < 60 and gateway.process.poll() is None
--- a/tests/test_command.py
+++ b/tests/test_command.py
@@ -1,4 +1,4 @@
-"""The command line."""
+"""The command line: exit codes, messages, and what it imports."""
 
 import copy
 import json
@@ -10,15 +10,15 @@
 from click.testing import CliRunner
 from lab_worlds import ROOT
 
-from oakfork import configuration_schema as configuration_format
+from oakfork import configuration_schema
 from oakfork.cli import main
 from oakfork.contracts import contracts_file
-from oakfork.fleet import config as fleetfile
-from oakfork.lab import experiment as files
+from oakfork.fleet import config as fleet_config
+from oakfork.lab import experiment
 
 
 @pytest.mark.parametrize(
-    "words, status, said",
+    "arguments, status, expected",
     [
         (["contracts", "check", str(ROOT / "deploy/contracts.example.toml")], 0, "1 contracts"),
         (["contracts", "check", "/nowhere"], 2, "No such file"),
@@ -34,15 +34,17 @@
         (["--version"], 0, "."),
     ],
 )
-def test_exit_codes_and_errors_on_one_line(words, status, said):
-    done = CliRunner().invoke(main, words)
-    assert done.exit_code == status and said in done.output and "Traceback" not in done.output
+def test_mistakes_give_exit_code_2_and_one_line(arguments, status, expected):
+    """Guards against tracebacks, wrong exit codes and errors that name no cause."""
+    done = CliRunner().invoke(main, arguments)
+    assert done.exit_code == status and expected in done.output and "Traceback" not in done.output
     assert status == 0 or len(done.output.strip().splitlines()) == 1
 
 
 def test_check_names_each_fault_by_its_path(tmp_path):
-    good = json.loads((ROOT / "deploy/example.json").read_text())
-    bad = copy.deepcopy(good) | {"listen": 7, "seed": "xyz"}
+    """Guards against a check that stops at the first fault, or does not say where a fault is."""
+    valid = json.loads((ROOT / "deploy/example.json").read_text())
+    bad = copy.deepcopy(valid) | {"listen": 7, "seed": "xyz"}
     bad["settings"]["classes"][1]["aim-ms"] = "soon"
     bad["settings"]["classes"][0]["value"] = float("nan")
     bad["known"]["servers"][0]["state"] = "asleep"
@@ -55,14 +57,16 @@
         == {"listen", "seed", "settings.classes[1].aim-ms", "settings.classes[0].value", "known.servers[0].state"}
         and done.exit_code == 2
     )
-    good["settings"]["classes"][0]["aim-ms"], good["peers"] = 9e9, ["127.0.0.1:1"] * 3
-    assert {fault.split(": ")[0] for fault in configuration_format.faults_in(good)} == {
+    valid["settings"]["classes"][0]["aim-ms"] = 9e9
+    valid["peers"] = ["127.0.0.1:1"] * 3
+    assert {fault.split(": ")[0] for fault in configuration_schema.faults_in(valid)} == {
         "settings.classes[0].aim-ms",
         "peers",
     }
 
 
-def test_serve_refuses_what_the_schema_refuses_and_serves_the_rest(tmp_path):
+def test_serve_refuses_what_the_schema_refuses_and_serves_otherwise(tmp_path):
+    """Guards against serving with a faulty configuration, and against refusing a valid one."""
     document = json.loads((ROOT / "deploy/example.json").read_text()) | {"listen": "127.0.0.1:0"}
     path = tmp_path / "n0.json"
     path.write_text(json.dumps(document | {"limits": {"sockets": 3}}))
@@ -80,20 +84,22 @@
         process.kill()
 
 
-def test_docs_have_the_formats_as_the_checks_know_them():
+def test_docs_have_each_key_of_the_schemas():
+    """Guards against documentation of a format that differs from its schema."""
     for page, rows in (
-        ("configuration.md", configuration_format.table()),
-        ("lab.md", configuration_format.table(files.SCHEMA)),
-        ("fleet.md", configuration_format.table(fleetfile.SCHEMA)),
-        ("contracts.md", configuration_format.table(contracts_file.SCHEMA)),
+        ("configuration.md", configuration_schema.table()),
+        ("lab.md", configuration_schema.table(experiment.SCHEMA)),
+        ("fleet.md", configuration_schema.table(fleet_config.SCHEMA)),
+        ("contracts.md", configuration_schema.table(contracts_file.SCHEMA)),
     ):
         text = (ROOT / "docs" / page).read_text()
         for path, kind, meaning in rows:
             assert f"| `{path}` | {kind} | {meaning} |" in text, (page, path)
 
 
-def test_serving_imports_nothing_of_the_laboratory():
+def test_serving_imports_neither_the_laboratory_nor_its_libraries():
+    """Guards against a gateway that needs libraries which are not installed with it, or starts slowly."""
     heavy = "numpy", "click", "jsonschema", "hdrh", "scipy", "matplotlib", "oakfork.lab", "oakfork.cli"
     code = f"import sys, oakfork.serving; print([name for name in {heavy!r} if name in sys.modules])"
-    with os.popen(f'{sys.executable} -c "{code}"') as said:
-        assert said.read().strip() == "[]"
+    with os.popen(f'{sys.executable} -c "{code}"') as output:
+        assert output.read().strip() == "[]"
--- a/tests/test_control_gateway.py
+++ b/tests/test_control_gateway.py
@@ -8,7 +8,7 @@
 
 import tomli_w
 import trio
-from fake_services import FakeService, echo, entry, free_port, rpc, started, told, until
+from fake_services import FakeService, configuration_document, echo, entry, free_port, rpc, started, until
 from lab_worlds import ROOT
 
 from oakfork.control import client, trial
@@ -40,7 +40,7 @@
             }
         ).encode()
     )
-    configured = told("127.0.0.1:9", rows)
+    configured = configuration_document("127.0.0.1:9", rows)
     with started(folder, configured, LB_FLEET=str(fleet)) as process:
         yield configured["listen"], process
 
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -1,4 +1,4 @@
-"""Every error the program raises says what an operator can do, and the same words stand in the log and the docs."""
+"""Every error that the program raises says what an operator can do, in the log and in the documentation alike."""
 
 import ast
 import builtins
@@ -8,7 +8,7 @@
 import sys
 
 import pytest
-from fake_services import FakeDiscovery, told
+from fake_services import FakeDiscovery, configuration_document
 from lab_worlds import ROOT
 
 from oakfork import errors
@@ -22,8 +22,10 @@
 
 
 def _raised(tree):
-    """The names of all types raised; `raise` alone and `raise error` pass on what is there; an argument of `type[X]` is
-    an X."""
+    """The names of all types that a module raises.
+
+    A bare `raise` and `raise error` of a caught error raise what is there; an argument annotated `type[X]` is an X.
+    """
     caught = {handler.name for handler in ast.walk(tree) if isinstance(handler, ast.ExceptHandler)}
     given = {
         arg.arg: arg.annotation.slice.id
@@ -38,6 +40,7 @@
 
 @pytest.mark.parametrize("path", SOURCES, ids=lambda path: str(path.relative_to(ROOT)))
 def test_every_raised_error_says_what_to_do(path):
+    """Guards against an error that leaves an operator without advice."""
     module = (
         importlib.import_module(".".join(path.relative_to(ROOT).with_suffix("").parts))
         if path.name not in ("__main__.py",)
@@ -48,21 +51,23 @@
         assert issubclass(kind, errors.OakforkError) and kind.todo, f"{name} says nothing of what to do"
 
 
-def test_an_error_without_a_text_is_found():
-    """Guards against a test that passes whatever is raised."""
+def test_raised_types_are_found_in_source_code():
+    """Guards against a check of raised errors that passes whatever is raised."""
     assert _raised(ast.parse("raise ValueError('x')")) == ["ValueError"]
     assert _raised(ast.parse("def f(kind: type[ValueError]):\n  raise kind('x')")) == ["ValueError"]
     assert _raised(ast.parse("try:\n  pass\nexcept OSError as e:\n  raise e\nraise lab.LoadError")) == ["LoadError"]
 
 
-def test_the_page_on_call_has_the_texts_as_the_code_has_them():
+def test_docs_have_the_texts_of_all_errors():
+    """Guards against documentation of errors that differs from what the program prints."""
     page = (ROOT / "docs/oncall.md").read_text()
     assert errors.table() in page, "docs/oncall.md: put in what `python -m oakfork.errors` prints"
 
 
-def test_the_log_line_of_an_error_has_its_text(tmp_path):
+def test_log_line_of_an_error_says_what_to_do(tmp_path):
+    """Guards against an address in use that ends the process without its exit code or advice."""
     discovery = FakeDiscovery([])
-    document = told(discovery.address, []) | {"listen": discovery.address}  # taken
+    document = configuration_document(discovery.address, []) | {"listen": discovery.address}  # in use
     (tmp_path / "n0.json").write_text(json.dumps(document))
     done = subprocess.run(
         [sys.executable, "-m", "oakfork"],
@@ -72,13 +77,13 @@
         timeout=20,
         cwd=ROOT,
     )
-    discovery.shutdown()
-    discovery.server_close()
+    discovery.stop()
     line = json.loads(done.stderr.splitlines()[0])
     assert done.returncode == errors.AddressInUseError.status and line["todo"] == errors.AddressInUseError.todo
 
 
-def test_faults_stand_on_a_line_each_and_what_to_do_once():
+def test_each_fault_has_a_line_and_the_advice_comes_once():
+    """Guards against faults that are joined on one line, or repeat the advice."""
     one, two = errors.ExperimentError(["a: bad"]), errors.ExperimentError(["a: bad", "b: worse"])
     assert errors.error_lines(one, "f.toml") == f"f.toml: a: bad; {one.todo}"
     assert errors.error_lines(two, "f.toml").splitlines() == ["f.toml: a: bad", "f.toml: b: worse", two.todo]
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""What CI does with KNOWN-RED.txt: pytest itself is run on a small project."""
+"""How a test run treats KNOWN-RED.txt: pytest itself is run on a small project."""
 
 import subprocess
 import sys
@@ -11,7 +11,7 @@
 
 
 @pytest.mark.parametrize(
-    "lines, status, said",
+    "lines, status, expected",
     [
         ([], 1, "1 failed, 1 passed"),
         ([f"{RED} | the sky | 7"], 0, f"known red: {RED}: the sky (7)"),
@@ -23,7 +23,8 @@
     ],
 )
 @pytest.mark.parametrize("workers", [[], ["-n", "2"]])
-def test_known_red(tmp_path, lines, status, said, workers):
+def test_known_red_file_is_obeyed_or_refused(tmp_path, lines, status, expected, workers):
+    """Guards against a listed test that passes unnoticed, and against a malformed list that is ignored."""
     (tmp_path / "tests").mkdir()
     (tmp_path / "pyproject.toml").write_text('[tool.pytest.ini_options]\ntestpaths = ["tests"]\n')
     (tmp_path / "tests/test_it.py").write_text(TESTS)
@@ -37,5 +38,5 @@
         text=True,
     )
     assert (run.returncode == status or workers and run.returncode > 0 < status) and (
-        said in run.stdout + run.stderr or workers
+        expected in run.stdout + run.stderr or workers
     )
--- a/tests/test_lists.py
+++ b/tests/test_lists.py
@@ -1,4 +1,4 @@
-"""Lists of servers as discovery tells them to the program, late, broken or not at all."""
+"""Lists of servers that reach the program from discovery, late, broken or not at all."""
 
 import json
 import signal
@@ -8,6 +8,7 @@
 import structlog
 import trio
 import trio.testing
+from discovery_agents import discovery_configuration
 from fake_services import FakeDiscovery, echo, entry, rpc, settings, until
 
 from oakfork.errors import ConnectionFailedError
@@ -15,46 +16,50 @@
 from oakfork.sockets.outcomes import Outcome
 
 
-def test_changes_of_the_list_are_followed(world):
-    with world(echo, echo) as w:
+def test_changes_of_the_list_are_followed(start_gateway):
+    """Guards against call-outs to draining or removed servers, and against lists that unusable rows make useless."""
+    with start_gateway(echo, echo) as gateway:
         for state in ({"state": "draining"}, {"state": "removed"}):
-            w.discovery.change([w.list[0] | state])
-            assert until(lambda: len(w.discovery.seen) >= w.discovery.version)
+            gateway.discovery.change([gateway.rows[0] | state])
+            assert until(lambda: len(gateway.discovery.seen) >= gateway.discovery.version)
             time.sleep(0.1)
-            before = len(w.servers[0].seen)
-            assert all(rpc(w.at)[0] == 200 for _ in range(8)) and len(w.servers[0].seen) == before
+            before = len(gateway.servers[0].seen)
+            assert all(rpc(gateway.address)[0] == 200 for _ in range(8)) and len(gateway.servers[0].seen) == before
         unusable = [
             {"id": 5, "state": "up", "addr": "nowhere"},
             "nonsense",
             entry(9, None),
-            entry(8, w.at, cell="x"),
-            entry(7, w.at, started_ms=float("inf")),
-            entry(6, w.at, zone=["z"], state="up"),
+            entry(8, gateway.address, cell="x"),
+            entry(7, gateway.address, started_ms=float("inf")),
+            entry(6, gateway.address, zone=["z"], state="up"),
         ]
-        w.discovery.change([*unusable, w.list[0], w.list[1] | {"state": "draining"}])
-        assert until(lambda: len(w.discovery.seen) >= w.discovery.version)
+        gateway.discovery.change([*unusable, gateway.rows[0], gateway.rows[1] | {"state": "draining"}])
+        assert until(lambda: len(gateway.discovery.seen) >= gateway.discovery.version)
         time.sleep(0.1)
-        assert all(rpc(w.at)[0] == 200 for _ in range(4)) and len(w.servers[0].seen) == before + 4
+        assert all(rpc(gateway.address)[0] == 200 for _ in range(4)) and len(gateway.servers[0].seen) == before + 4
 
 
-def test_a_watch_that_has_gone_silent_is_taken_up_again(world):
+def test_silent_watch_is_resumed(start_gateway):
+    """Guards against waiting for good on a watch whose connection stays open without an answer."""
+
     def silent(handler, body):  # the connection stays open, and nothing more comes on it
-        if len(w.discovery.seen) <= 2:
+        if len(gateway.discovery.seen) <= 2:
             time.sleep(30)
         else:
-            w.discovery.tell(handler, body)
+            gateway.discovery.serve_list(handler, body)
 
-    with world(echo, echo) as w:
-        w.discovery.act = silent
-        w.discovery.change([w.list[0] | {"state": "removed"}])
+    with start_gateway(echo, echo) as gateway:
+        gateway.discovery.act = silent
+        gateway.discovery.change([gateway.rows[0] | {"state": "removed"}])
         begun = time.monotonic()
-        assert until(lambda: len(w.discovery.seen) > 3) and time.monotonic() - begun < 5
-        before = len(w.servers[0].seen)
-        assert all(rpc(w.at)[0] == 200 for _ in range(6)) and len(w.servers[0].seen) == before
+        assert until(lambda: len(gateway.discovery.seen) > 3) and time.monotonic() - begun < 5
+        before = len(gateway.servers[0].seen)
+        assert all(rpc(gateway.address)[0] == 200 for _ in range(6)) and len(gateway.servers[0].seen) == before
 
 
-def test_a_broken_list_leaves_the_last_one_valid(world):
-    with world(echo) as w:
+def test_malformed_list_leaves_the_last_one_in_force(start_gateway):
+    """Guards against a crash, an empty list or rapid retries when the agent's answers are malformed."""
+    with start_gateway(echo) as gateway:
         bad = [
             b'{"version": "x"',
             b"[]",
@@ -62,40 +67,41 @@
             b'{"version": Infinity, "full": 1, "servers": []}',
             b"x" * 70_000,
         ]
-        w.discovery.act = lambda handler, body: handler.reply(200, bad[len(w.discovery.seen) % len(bad)])
-        w.discovery.change([])
+        gateway.discovery.act = lambda handler, body: handler.reply(200, bad[len(gateway.discovery.seen) % len(bad)])
+        gateway.discovery.change([])
         time.sleep(1.0)
-        assert rpc(w.at)[0] == 200 and 3 < len(w.discovery.seen) < 12
+        assert rpc(gateway.address)[0] == 200 and 3 < len(gateway.discovery.seen) < 12
 
 
-def test_where_lists_come_on_asking_a_dead_discovery_is_asked_now_and_then(world):
-    with world(echo, settings=settings(discovery="subscribe")) as w:
-        assert until(lambda: w.discovery.seen) and "from=1&" in w.discovery.seen[0][1]
-        w.discovery.act = lambda handler, body: handler.reply(503)
-        w.discovery.change([])
-        assert until(lambda: len(w.discovery.seen) > 3)  # after a third of a second at first, at most one later
+def test_failed_subscription_is_repeated_at_a_moderate_rate(start_gateway):
+    """Guards against a flood of calls, or none, to an agent that is down, where lists come on request only."""
+    with start_gateway(echo, settings=settings(discovery="subscribe")) as gateway:
+        assert until(lambda: gateway.discovery.seen) and "from=1&" in gateway.discovery.seen[0][1]
+        gateway.discovery.act = lambda handler, body: handler.reply(503)
+        gateway.discovery.change([])
+        assert until(lambda: len(gateway.discovery.seen) > 3)  # after a third of a second at first, at most one later
         time.sleep(0.3)
-        assert rpc(w.at)[0] == 200 and len(w.discovery.seen) < 7
+        assert rpc(gateway.address)[0] == 200 and len(gateway.discovery.seen) < 7
 
 
-def test_an_overbooked_discovery_is_asked_less_and_less_and_by_no_two_gateways_in_step(monkeypatch):
-    """Guards against tens of gateways that ask ten times a second and leave discovery no time for any of them."""
+def test_pauses_between_failed_watches_grow_and_differ_between_gateways(monkeypatch):
+    """Guards against tens of gateways that ask an overloaded agent ten times a second and leave it no time for any."""
 
     async def asked(seed):
-        here = SimpleNamespace(
-            discovery=("127.0.0.1", 1), known={}, settings=SimpleNamespace(subscribes_to_list=False, seed=seed)
-        )
-        watcher, times = watches.DiscoveryClient(here, None, structlog.get_logger()), []
+        settings = SimpleNamespace(subscribes_to_list=False, seed=seed)
+        configuration = SimpleNamespace(discovery=("127.0.0.1", 1), known={}, settings=settings)
+        client = watches.DiscoveryClient(configuration, None, structlog.get_logger())
+        times = []
 
         async def refused():
             times.append(trio.current_time())
-            if len(times) == 12:  # one that succeeds and then breaks
-                watcher.pause = watches.SHORTEST_PAUSE
+            if len(times) == 12:  # a watch that succeeds and then breaks
+                client.pause = watches.SHORTEST_PAUSE
             raise ConnectionFailedError(Outcome.ERROR)
 
-        monkeypatch.setattr(watcher, "_watch", refused)
+        monkeypatch.setattr(client, "_watch", refused)
         with trio.move_on_after(60):
-            await watcher.run()
+            await client.run()
         return [after - before for before, after in zip(times, times[1:], strict=False)]
 
     one, two = (trio.run(asked, seed, clock=trio.testing.MockClock(autojump_threshold=0)) for seed in (1, 2))
@@ -107,35 +113,39 @@
     assert all(abs(a - b) > 1e-4 for a, b in zip(one, two, strict=False))
 
 
-def test_sighup_turns_to_the_addresses_of_the_new_configuration(world):
-    with world(echo, echo) as w:
-        path = w.folder / "n0.json"
-        assert rpc(w.at)[0] == 200
+def test_sighup_turns_to_the_agent_of_the_new_configuration(start_gateway):
+    """Guards against a gateway that stays with the old agent, or that an unusable configuration changes or ends."""
+    with start_gateway(echo, echo) as gateway:
+        path = gateway.folder / "n0.json"
+        assert rpc(gateway.address)[0] == 200
         for text in ("", "[]", "{", '{"discovery": "nowhere"}'):  # unusable ones change nothing
             path.write_text(text)
-            w.process.send_signal(signal.SIGHUP)
+            gateway.process.send_signal(signal.SIGHUP)
             time.sleep(0.05)
-            assert rpc(w.at)[0] == 200
-        other = FakeDiscovery([w.list[1]])  # it knows of the second server only
-        path.write_text(json.dumps(w.told | {"discovery": other.address}))
-        w.process.send_signal(signal.SIGHUP)
-        w.process.send_signal(signal.SIGHUP)
+            assert rpc(gateway.address)[0] == 200
+        other = FakeDiscovery([gateway.rows[1]])  # it lists the second server only
+        path.write_text(json.dumps(gateway.document | {"discovery": other.address}))
+        gateway.process.send_signal(signal.SIGHUP)
+        gateway.process.send_signal(signal.SIGHUP)
         assert until(lambda: len(other.seen) > 1) and "from=" not in other.seen[0][1]
         time.sleep(0.1)
-        before, old = len(w.servers[0].seen), len(w.discovery.seen)
-        assert all(rpc(w.at)[0] == 200 for _ in range(6)) and len(w.servers[0].seen) == before
-        other.change([w.list[0], w.list[1] | {"state": "removed"}])
-        assert until(lambda: rpc(w.at)[0] == 200 and len(w.servers[0].seen) > before + 2)
-        assert w.process.poll() is None and len(w.discovery.seen) == old
-        other.shutdown()
-        other.server_close()
+        before = len(gateway.servers[0].seen)
+        old = len(gateway.discovery.seen)
+        assert all(rpc(gateway.address)[0] == 200 for _ in range(6)) and len(gateway.servers[0].seen) == before
+        other.change([gateway.rows[0], gateway.rows[1] | {"state": "removed"}])
+        assert until(lambda: rpc(gateway.address)[0] == 200 and len(gateway.servers[0].seen) > before + 2)
+        assert gateway.process.poll() is None and len(gateway.discovery.seen) == old
+        other.stop()
+
 
+def test_news_after_a_silent_watch_come_within_six_seconds(monkeypatch):
+    """Guards against pauses and timeouts that add up to more than six seconds after a watch fell silent.
 
-def test_the_longest_way_round_a_silent_watch_is_under_six_seconds(monkeypatch):
-    """Whatever went before: a call after the watch fell silent is made so early that its answer is there in time."""
+    Whatever went before, the next call is made so early that its answer is there in time.
+    """
 
-    class Silent:
-        """A connection on which some calls are answered and the next is not."""
+    class FallingSilent:
+        """A connection on which some calls are answered and the next one is not."""
 
         def __init__(self, answered):
             self.answered = answered
@@ -158,89 +168,96 @@
         def close(self):
             pass
 
-    async def connect(address, patience):
+    async def connect(address, timeout):
         attempts.append(trio.current_time())
         if len(attempts) % 9:  # discovery is away for long, so that the pauses have grown
             raise ConnectionFailedError(Outcome.REFUSED)
-        await trio.sleep(patience - 0.001)
-        return Silent(len(attempts) // 9 % 3)
+        await trio.sleep(timeout - 0.001)
+        return FallingSilent(len(attempts) // 9 % 3)
 
     async def watch():
-        here = SimpleNamespace(
-            discovery=("127.0.0.1", 1),
-            known={"version": 1},
-            connect_timeout=0.25,
-            settings=SimpleNamespace(subscribes_to_list=False, seed=5),
-        )
+        configuration = discovery_configuration(("127.0.0.1", 1))
         monkeypatch.setattr(watches, "connect", connect)
         with trio.move_on_after(400):
-            await watches.DiscoveryClient(here, None, structlog.get_logger()).run()
+            await watches.DiscoveryClient(configuration, None, structlog.get_logger()).run()
 
-    attempts, silences = [], []
+    attempts = []
+    silences = []
     trio.run(watch, clock=trio.testing.MockClock(autojump_threshold=0))
     assert len(silences) > 8
-    taken_up = [min(at for at in attempts if at > silence) - silence for silence in silences if attempts[-1] > silence]
-    assert max(taken_up) > watches.HOLD + watches.ANSWER_TIMEOUT + 1  # the pause had grown
-    assert max(taken_up) + 0.25 < 6.0 - 0.25  # with a new connection and the way of the news
+    resumed_after = [
+        min(at for at in attempts if at > silence) - silence for silence in silences if attempts[-1] > silence
+    ]
+    assert max(resumed_after) > watches.HOLD + watches.ANSWER_TIMEOUT + 1  # the pause had grown
+    assert max(resumed_after) + 0.25 < 6.0 - 0.25  # with a new connection and its answer
 
 
-def test_lists_may_come_indented(world):
+def test_indented_lists_are_read(start_gateway):
+    """Guards against a parser that depends on the layout of the JSON document."""
+
     def indented(handler, body):
-        servers = [w.list[0] | {"state": "draining"}, w.list[1]]
-        told = {"version": 9, "full": True, "servers": servers}
-        if len(w.discovery.seen) > 2:
+        servers = [gateway.rows[0] | {"state": "draining"}, gateway.rows[1]]
+        document = {"version": 9, "full": True, "servers": servers}
+        if len(gateway.discovery.seen) > 2:
             time.sleep(0.5)
-        handler.reply(200, json.dumps(told, indent=8).replace("\n", "\r\n").encode())
+        handler.reply(200, json.dumps(document, indent=8).replace("\n", "\r\n").encode())
 
-    with world(echo, echo) as w:
-        w.discovery.act = indented
-        w.discovery.change(w.list)
-        assert until(lambda: len(w.discovery.seen) > 2)
+    with start_gateway(echo, echo) as gateway:
+        gateway.discovery.act = indented
+        gateway.discovery.change(gateway.rows)
+        assert until(lambda: len(gateway.discovery.seen) > 2)
         time.sleep(0.1)
-        before = len(w.servers[0].seen)
-        assert all(rpc(w.at)[0] == 200 for _ in range(6)) and len(w.servers[0].seen) == before
+        before = len(gateway.servers[0].seen)
+        assert all(rpc(gateway.address)[0] == 200 for _ in range(6)) and len(gateway.servers[0].seen) == before
+
 
+def test_list_is_read_at_the_start_and_after_an_outage(start_gateway):
+    """Guards against using an old list although the agent has a newer one.
 
-def test_what_the_agent_has_is_asked_for_at_the_first_moment_and_after_an_outage(world):
-    """What the gateway knew when it started is old; the agent has had the news since before, and is silent at first."""
+    The list known at the start is old; the agent has had the news since before, and is silent at first.
+    """
 
     def silent_at_first(handler, body):
         if time.monotonic() < back[0]:
             time.sleep(max(0.0, back[0] - time.monotonic()))
             handler.close_connection = True  # what was asked meanwhile is never answered
         else:
-            w.discovery.tell(handler, body)
-
-    w, back = world(echo, echo), [0.0]
-    w.discovery.act = silent_at_first
-    w.discovery.change([w.list[0] | {"state": "removed"}, w.list[1]])
-    with w:
-        assert until(lambda: w.discovery.seen)
+            gateway.discovery.serve_list(handler, body)
+
+    gateway = start_gateway(echo, echo)
+    back = [0.0]  # when the outage ends
+    gateway.discovery.act = silent_at_first
+    gateway.discovery.change([gateway.rows[0] | {"state": "removed"}, gateway.rows[1]])
+    with gateway:
+        assert until(lambda: gateway.discovery.seen)
         time.sleep(0.2)
-        before = len(w.servers[0].seen)
-        assert all(rpc(w.at)[0] == 200 for _ in range(6)) and len(w.servers[0].seen) == before
+        before = len(gateway.servers[0].seen)
+        assert all(rpc(gateway.address)[0] == 200 for _ in range(6)) and len(gateway.servers[0].seen) == before
         back[0] = time.monotonic() + 4.0  # an outage, in which the other one goes and the first is back
-        w.discovery.change([w.list[0], w.list[1] | {"state": "removed"}])
+        gateway.discovery.change([gateway.rows[0], gateway.rows[1] | {"state": "removed"}])
         time.sleep(4.0 + watches.LONGEST_PAUSE + 0.3)
-        before = len(w.servers[1].seen)
-        assert all(rpc(w.at)[0] == 200 for _ in range(6)) and len(w.servers[1].seen) == before
+        before = len(gateway.servers[1].seen)
+        assert all(rpc(gateway.address)[0] == 200 for _ in range(6)) and len(gateway.servers[1].seen) == before
+
 
+def test_unavailable_servers_of_an_old_list_get_few_rpcs(start_gateway):
+    """Guards against failures while discovery is silent and the list still has servers that are gone or drain.
 
-def test_on_an_old_list_servers_that_drain_or_are_gone_get_little(world):
-    """Discovery says nothing any more. What the list still holds for good is judged by what comes from there."""
+    Such servers are judged by their answers.
+    """
 
     def away(handler, body):
         handler.reply(503, X_Turned_Away="1")
 
-    with world(echo, echo, away) as w:
-        w.discovery.act = lambda handler, body: time.sleep(30)
-        w.discovery.change(w.list)
-        w.servers[0].shutdown()
-        w.servers[0].server_close()
-        begun, answers = time.monotonic(), []
+    with start_gateway(echo, echo, away) as gateway:
+        gateway.discovery.act = lambda handler, body: time.sleep(30)
+        gateway.discovery.change(gateway.rows)
+        gateway.servers[0].stop()
+        begun = time.monotonic()
+        answers = []
         while time.monotonic() < begun + 3:
-            answers.append(rpc(w.at)[0])
+            answers.append(rpc(gateway.address)[0])
             time.sleep(0.01)
-        w.discovery.act = w.discovery.tell
+        gateway.discovery.act = gateway.discovery.serve_list
     assert len(answers) > 100 and answers.count(200) > 0.97 * len(answers)
-    assert len(w.servers[2].seen) < 0.2 * len(answers)  # one at a time, after a pause of about one answer
+    assert len(gateway.servers[2].seen) < 0.2 * len(answers)  # one at a time, after a pause of about one answer
--- a/tests/test_readiness.py
+++ b/tests/test_readiness.py
@@ -1,4 +1,4 @@
-"""What `run` loads: a process is ready within seconds on part of a core. No clock: counts and names only."""
+"""The modules that a gateway loads at its start, which decide how soon it is ready: counts and names only."""
 
 import json
 import subprocess
@@ -6,7 +6,7 @@
 
 from lab_worlds import ROOT
 
-LATER = {
+NOT_LOADED = {
     "click",
     "jsonschema",
     "msgspec",
@@ -24,7 +24,7 @@
     "email",
     "urllib3",
 }
-OURS_LATER = (
+OWN_NOT_LOADED = (
     "oakfork.lab",
     "oakfork.fleet",
     "oakfork.leases",
@@ -33,26 +33,29 @@
     "oakfork.configuration_schema",
     "oakfork.simulator_adapter",
 )
-MOST = 340  # 327 today, with the interpreter's own; each some tenths of a millisecond
+MAX_MODULES = 340  # with the interpreter's own; each takes some tenths of a millisecond to load
 
 
-def loaded(statement):
+def loaded_modules(statement):
+    """The names of all modules that are loaded after a statement in a new interpreter."""
     code = f"import sys\n{statement}\nimport json\nprint(json.dumps(sorted(sys.modules)))"
     run = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True)
     return json.loads(run.stdout.splitlines()[-1])
 
 
-def test_run_loads_what_it_needs_and_no_more():
-    modules = loaded("import oakfork.serving")
-    assert not LATER & {name.partition(".")[0] for name in modules}
-    assert not [name for name in modules if name.startswith(OURS_LATER)]
-    assert len(modules) <= MOST
+def test_serving_loads_only_the_modules_that_it_needs():
+    """Guards against a slow start on part of a core, by libraries and parts that serving does not use."""
+    modules = loaded_modules("import oakfork.serving")
+    assert not NOT_LOADED & {name.partition(".")[0] for name in modules}
+    assert not [name for name in modules if name.startswith(OWN_NOT_LOADED)]
+    assert len(modules) <= MAX_MODULES
 
 
-def test_signals_are_held_before_anything_large_is_loaded():
-    before = set(loaded("pass"))
-    assert {name for name in set(loaded("from oakfork import early_signals")) - before if "." in name} <= {
+def test_signal_handlers_are_installed_before_anything_large_is_loaded():
+    """Guards against SIGHUP or SIGTERM that ends the process with an error while it loads its modules."""
+    before = set(loaded_modules("pass"))
+    assert {name for name in set(loaded_modules("from oakfork import early_signals")) - before if "." in name} <= {
         "oakfork.early_signals"
     }
-    main = (ROOT / "oakfork/__main__.py").read_text()
-    assert main.index("early_signals.install_handlers()") < main.index("from oakfork.serving")
+    source = (ROOT / "oakfork/__main__.py").read_text()
+    assert source.index("early_signals.install_handlers()") < source.index("from oakfork.serving")
