--- a/oakfork/errors.py
+++ b/oakfork/errors.py
@@ -82,7 +82,7 @@
 
 
 class DatabaseError(OakforkError):
-    """The database is another publisher's, is damaged, or is in use by another publisher; it was not changed."""
+    """The database is not this publisher's, is damaged, or is now another publisher's; it was not changed."""
 
     todo = "name the publisher's own database, end the other process that uses it, or restore a copy; docs/control.md"
 
@@ -96,7 +96,7 @@
 class MeasurementError(OakforkError, ValueError):
     """A measurement of costs by size, or the page of all measurements, can't be made from the results at hand."""
 
-    todo = "repeat the measurement that it names, by `oakfork lab scale GROUP`; docs/CAPACITY.md marks its tables"
+    todo = "repeat what it names by `oakfork lab scale GROUP`; docs/CAPACITY.md has the markers of its tables"
 
 
 class DrillProcessError(OakforkError):
