--- a/oakfork/lab/baseline_policies.py
+++ b/oakfork/lab/baseline_policies.py
@@ -1,7 +1,7 @@
-"""Textbook policies in the decision module's place, to compare it with. They keep the rules on call-outs, no more.
+"""Textbook policies in place of the decision module, to compare it with.
 
-A baseline is a way to choose a server and a way to count quotas; both are replaceable parts. Pure, as the module is:
-no I/O, clock or global state.
+A baseline combines a way to choose a server with a way to count quotas. It keeps the rules on call-outs and does
+nothing more. Like the decision module it has no I/O, clock or global state.
 """
 
 import heapq
@@ -13,160 +13,187 @@
 from oakfork.decision import DecisionModule
 from oakfork.interface import NEVER_RAN, SECOND, RepeatSafety, ServerState, Status
 
-WINDOW = 2 * SECOND  # the central bucket counts in windows: short against a burst, long against a call
+# Tenths of a millisecond in which the central bucket counts: short against a burst, long against a counter call.
+WINDOW = 2 * SECOND
 
 
 @dataclass(slots=True)
 class Rpc:
-    ask: interface.RpcArrived
-    dl: int
-    sent: int = 0
-    maybe: int = 0  # call-outs that may have run
-    first: int = -1  # the server of the first of those
+    """One RPC that a baseline has accepted."""
+
+    arrival: interface.RpcArrived
+    deadline: int  # tenths of a millisecond
+    sent: int = 0  # call-outs
+    possible_executions: int = 0  # call-outs that may have run
+    first_server: int = -1  # server of the first of those
     over: bool = False
 
 
 class Baseline:
-    """`rpcs` is emptied as RPCs end, `buckets` holds as many as there are customers."""
+    """One gateway's policy. `rpcs` holds the open RPCs; `buckets` has one entry for each customer seen."""
 
     def __init__(self, settings: interface.GatewaySettings, now: int, choose: str, quota: str) -> None:
-        self.settings, self.choose, self.quota = settings, getattr(self, "_choose_" + choose), quota
-        self.dice = random.Random(settings.seed)
+        """`choose` names a `_choose_` method; `quota` is none, local or central."""
+        self.settings = settings
+        self.choose = getattr(self, "_choose_" + choose)
+        self.quota = quota
+        self.rng = random.Random(settings.seed)
         self.servers: dict[int, interface.ServerEntry] = {}
-        self.out: dict[int, int] = {}
+        self.outstanding: dict[int, int] = {}  # call-outs by server
         self.turn = 0
         self.rpcs: dict[int, Rpc] = {}
-        self.buckets: dict[int, tuple[float, int]] = {}
-        self.counting: dict[int, list[int]] = {}  # name -> RPCs that wait for the counter; emptied by its answers
-        self.ends: list[tuple[int, int]] = []
-        self.woken = 0
+        self.buckets: dict[int, tuple[float, int]] = {}  # customer -> (tokens, time of the last update)
+        self.waiting_for_counter: dict[int, list[int]] = {}  # counter name -> RPCs that wait for its reply
+        self.deadlines: list[tuple[int, int]] = []  # heap of (deadline, RPC)
+        self.timer_at = 0
         self.commands: list[interface.Command] = []
 
     def handle(self, now: int, event: interface.Event) -> Sequence[interface.Command]:
+        """Returns the commands that an event leads to."""
         self.commands = []
         match event:
             case interface.RpcArrived(index):
-                rpc = self.rpcs[index] = Rpc(event, now + event.time_left)
-                heapq.heappush(self.ends, (rpc.dl, index))
+                rpc = Rpc(event, now + event.time_left)
+                self.rpcs[index] = rpc
+                heapq.heappush(self.deadlines, (rpc.deadline, index))
                 self._admit(now, index, rpc)
             case interface.CallOutEnded(index) if index in self.rpcs:
-                self._ended(now, event, self.rpcs[index])
+                self._call_out_ended(now, event, self.rpcs[index])
             case interface.ServerList():
                 for entry in event.entries:
                     self.servers[entry.server] = entry
             case interface.CounterReplied(status, total, name):
-                self._counted(now, status, total, name)
+                self._counter_replied(now, status, total, name)
             case interface.ClientDisconnected(index) if index in self.rpcs:
                 self.rpcs.pop(index).over = True
-        while self.ends and self.ends[0][0] <= now:
-            _, index = heapq.heappop(self.ends)
+        self._end_overdue(now)
+        self._set_timer(now)
+        return self.commands
+
+    def _end_overdue(self, now: int) -> None:
+        while self.deadlines and self.deadlines[0][0] <= now:
+            _, index = heapq.heappop(self.deadlines)
             rpc = self.rpcs.get(index)
-            if rpc is not None and rpc.dl <= now:
+            if rpc is not None and rpc.deadline <= now:
                 self._give_up(index, rpc)
-        if self.ends and (self.woken <= now or self.ends[0][0] < self.woken):
-            self.woken = self.ends[0][0]
-            self.commands.append(interface.SetTimer(0, max(1, self.woken - now)))
-        return self.commands
+
+    def _set_timer(self, now: int) -> None:
+        if self.deadlines and (self.timer_at <= now or self.deadlines[0][0] < self.timer_at):
+            self.timer_at = self.deadlines[0][0]
+            self.commands.append(interface.SetTimer(0, max(1, self.timer_at - now)))
 
     # Quotas
 
     def _admit(self, now: int, index: int, rpc: Rpc) -> None:
-        plan, ask = self.settings.plans[rpc.ask.plan], rpc.ask
-        if self.quota == "none" or not plan.rate:
+        arrival = rpc.arrival
+        if self.quota == "none" or not self.settings.plans[arrival.plan].rate:
             self._send(now, index, rpc)
         elif self.quota == "local":
-            rate, burst = plan.rate / ask.spread, max(1.0, plan.burst / ask.spread)
-            tokens, at = self.buckets.get(ask.customer, (burst, now))
-            tokens = min(burst, tokens + (now - at) * rate / SECOND)
-            if tokens < ask.units:
-                self._refuse(index, round((ask.units - tokens) / rate * SECOND))
-            else:
-                tokens -= ask.units
-                self._send(now, index, rpc)
-            self.buckets[ask.customer] = tokens, now
+            self._admit_locally(now, index, rpc)
+        else:
+            name = arrival.customer << 16 | now // WINDOW & 0xFFFF
+            self.waiting_for_counter.setdefault(name, []).append(index)
+            self.commands.append(interface.AddToCounter(name, arrival.units, 2 * WINDOW))
+
+    def _admit_locally(self, now: int, index: int, rpc: Rpc) -> None:
+        """Admits by this gateway's equal part of the customer's bucket."""
+        arrival, plan = rpc.arrival, self.settings.plans[rpc.arrival.plan]
+        rate = plan.rate / arrival.spread
+        burst = max(1.0, plan.burst / arrival.spread)
+        tokens, updated_at = self.buckets.get(arrival.customer, (burst, now))
+        tokens = min(burst, tokens + (now - updated_at) * rate / SECOND)
+        if tokens < arrival.units:
+            self._push_back(index, round((arrival.units - tokens) / rate * SECOND))
         else:
-            name = ask.customer << 16 | now // WINDOW & 0xFFFF
-            self.counting.setdefault(name, []).append(index)
-            self.commands.append(interface.AddToCounter(name, ask.units, 2 * WINDOW))
+            tokens -= arrival.units
+            self._send(now, index, rpc)
+        self.buckets[arrival.customer] = tokens, now
 
-    def _counted(self, now: int, status: Status, total: float, name: int) -> None:
-        waiting = self.counting.get(name, [])
+    def _counter_replied(self, now: int, status: Status, total: float, name: int) -> None:
+        waiting = self.waiting_for_counter.get(name, [])
         index = waiting.pop(0) if waiting else -1
         if not waiting:
-            self.counting.pop(name, None)
+            self.waiting_for_counter.pop(name, None)
         rpc = self.rpcs.get(index)
         if rpc is None or rpc.sent:
             return
-        plan = self.settings.plans[rpc.ask.plan]
+        plan = self.settings.plans[rpc.arrival.plan]
         if status == Status.OK and total > plan.rate * WINDOW / SECOND + plan.burst / 2:
-            self._refuse(index, WINDOW - now % WINDOW)
-        else:  # a counter that does not answer lets everything in, as such gateways do
+            self._push_back(index, WINDOW - now % WINDOW)
+        else:  # fails open: a counter that does not answer admits everything
             self._send(now, index, rpc)
 
     # Servers
 
-    def _fit(self) -> list[int]:
+    def _ready_servers(self) -> list[int]:
         return [index for index, entry in self.servers.items() if entry.state == ServerState.READY]
 
-    def _choose_random(self, fit: list[int]) -> int:
-        return self.dice.choice(fit)
+    def _choose_random(self, ready: list[int]) -> int:
+        return self.rng.choice(ready)
 
-    def _choose_round_robin(self, fit: list[int]) -> int:
+    def _choose_round_robin(self, ready: list[int]) -> int:
         self.turn += 1
-        return fit[self.turn % len(fit)]
+        return ready[self.turn % len(ready)]
 
-    def _choose_least_outstanding(self, fit: list[int]) -> int:
-        return min(fit, key=lambda index: (self.out.get(index, 0), self.dice.random()))
+    def _choose_least_outstanding(self, ready: list[int]) -> int:
+        return min(ready, key=lambda index: (self.outstanding.get(index, 0), self.rng.random()))
 
-    def _choose_two_choices(self, fit: list[int]) -> int:
-        return min((self.dice.choice(fit) for _ in range(2)), key=lambda index: self.out.get(index, 0))
+    def _choose_two_choices(self, ready: list[int]) -> int:
+        return min((self.rng.choice(ready) for _ in range(2)), key=lambda index: self.outstanding.get(index, 0))
 
     # RPCs
 
+    def _idempotent(self, rpc: Rpc) -> bool:
+        return self.settings.methods[rpc.arrival.method].repeat == RepeatSafety.IDEMPOTENT
+
     def _send(self, now: int, index: int, rpc: Rpc) -> None:
-        fit = self._fit()
-        if rpc.maybe and self.settings.methods[rpc.ask.method].repeat != RepeatSafety.IDEMPOTENT:
-            fit = [server for server in fit if server == rpc.first]
-        if not fit or rpc.sent >= self.settings.max_call_outs or now >= rpc.dl:
+        ready = self._ready_servers()
+        if rpc.possible_executions and not self._idempotent(rpc):
+            ready = [server for server in ready if server == rpc.first_server]
+        if not ready or rpc.sent >= self.settings.max_call_outs or now >= rpc.deadline:
             self._give_up(index, rpc)
             return
-        server = self.choose(fit)
-        rpc.sent, rpc.maybe = rpc.sent + 1, rpc.maybe + 1
-        rpc.first = server if rpc.first < 0 else rpc.first
-        self.out[server] = self.out.get(server, 0) + 1
+        server = self.choose(ready)
+        rpc.sent += 1
+        rpc.possible_executions += 1
+        if rpc.first_server < 0:
+            rpc.first_server = server
+        self.outstanding[server] = self.outstanding.get(server, 0) + 1
         self.commands.append(interface.SendCallOut(index, server, 0))
 
-    def _ended(self, now: int, event: interface.CallOutEnded, rpc: Rpc) -> None:
-        self.out[event.server] = max(0, self.out.get(event.server, 0) - 1)
+    def _call_out_ended(self, now: int, event: interface.CallOutEnded, rpc: Rpc) -> None:
+        self.outstanding[event.server] = max(0, self.outstanding.get(event.server, 0) - 1)
         if event.status in NEVER_RAN:
-            rpc.maybe -= 1
-            rpc.first = rpc.first if rpc.maybe else -1
+            rpc.possible_executions -= 1
+            if not rpc.possible_executions:
+                rpc.first_server = -1
         if event.final or rpc.over:
             self.rpcs.pop(event.rpc, None)
-        elif self.settings.methods[rpc.ask.method].repeat == RepeatSafety.IDEMPOTENT or not rpc.maybe:
+        elif self._idempotent(rpc) or not rpc.possible_executions:
             self._send(now, event.rpc, rpc)
         else:
             self._give_up(event.rpc, rpc)
 
-    def _refuse(self, index: int, wait: int) -> None:
+    def _push_back(self, index: int, wait: int) -> None:
         self.rpcs.pop(index).over = True
         self.commands.append(interface.PushBack(index, wait if self.settings.retry_after else 0))
 
     def _give_up(self, index: int, rpc: Rpc) -> None:
+        """Pushes an RPC back if a repeat is harmless, and aborts it otherwise."""
         self.rpcs.pop(index, None)
         rpc.over = True
-        harmless = not rpc.maybe or self.settings.methods[rpc.ask.method].repeat == RepeatSafety.IDEMPOTENT
+        harmless = not rpc.possible_executions or self._idempotent(rpc)
         self.commands.append(interface.PushBack(index, 0) if harmless else interface.Abort(index))
 
 
-Decide = Callable[[interface.GatewaySettings, int], object]
+PolicyFactory = Callable[[interface.GatewaySettings, int], object]
 
 
-def _baseline(choose: str, quota: str) -> Decide:
+def _baseline(choose: str, quota: str) -> PolicyFactory:
     return lambda settings, now: Baseline(settings, now, choose, quota)
 
 
-POLICIES: dict[str, Decide] = {
+POLICIES: dict[str, PolicyFactory] = {
     "oakfork": DecisionModule,
     "random": _baseline("random", "none"),
     "round robin": _baseline("round_robin", "none"),
--- a/oakfork/lab/customers.py
+++ b/oakfork/lab/customers.py
@@ -1,4 +1,4 @@
-"""Customers and their clients: who asks, through which gateway, and what they do when it goes wrong."""
+"""Simulated customers and their clients: who sends RPCs, through which gateway, and when they retry."""
 
 from bisect import bisect
 from dataclasses import dataclass, field
@@ -13,34 +13,37 @@
 from oakfork.lab.invariant_checker import WatchedRpc
 from oakfork.lab.world_config import MethodConfig, PlanConfig
 
-SHIFT = 10 * SECOND  # the gateways that a customer comes through most change so often
+WEIGHTS_PERIOD = 10 * SECOND  # how often a customer's distribution over its gateways is redrawn
+GATEWAY_DRAWS = 4  # draws before a client finds no gateway
 
 
 @dataclass(slots=True)
 class Customer:
+    """One customer: its demand, and its true use of the quota. Times are tenths of a millisecond."""
+
     number: int
     plan: PlanConfig
     plan_index: int
-    first: int
-    spread: int
-    rate: float  # RPCs a tenth of a millisecond
-    weights: list[float] = field(default_factory=list)
-    tokens: float = 0.0  # what is truly left of its quota: by what was sent on
-    updated: int = 0
-    asked: float = 0.0  # what would be left had each first try that was inside been sent on at once
+    first_gateway: int
+    spread: int  # number of gateways
+    rate: float  # RPCs per tenth of a millisecond
+    weights: list[float] = field(default_factory=list)  # cumulative, by gateway
+    tokens: float = 0.0  # left of the quota by what was sent on to servers
+    tokens_at: int = 0
+    asked_tokens: float = 0.0  # left of the quota if each first try inside it had been sent on at once
     asked_at: int = 0
 
 
 @dataclass(slots=True)
 class ClientRequest:
-    """What a client wants, over all its tries."""
+    """What a client asks for, over all its tries. Times are tenths of a millisecond."""
 
     customer: Customer
     method: MethodConfig
     method_index: int
     units: float
-    born: int
-    until: int
+    created_at: int
+    deadline: int
     tries: int = 0
 
 
@@ -48,190 +51,217 @@
     """The world as its customers see it."""
 
     gateways: list[GatewayModel]
-    down_since: dict[int, int]
-    press: float
+    gateway_down_since: dict[int, int]
+    demand_scale: float
     surge: float
 
-    def chance(self, stream: str) -> Any: ...
+    def generator(self, stream: str) -> Any:
+        """The random generator of a stream."""
+        ...
 
 
 class CustomerPopulation:
+    """All customers. Each sends RPCs as a Poisson process until the population is closed."""
+
     def __init__(self, world: CustomerEnvironment) -> None:
-        self.world, plan = world, world.plan
-        self.dice = world.chance("clients")
+        """Draws the customers of all plans."""
+        self.world = world
+        config = world.config
+        self.rng = world.generator("clients")
         self.next_rpc = 0
-        self.closed = False  # no client asks any more
-        self.shares = list(accumulate(method.share for method in plan.methods))
+        self.closed = False  # no client sends new RPCs
+        self.cumulative_shares = list(accumulate(method.share for method in config.methods))
         self.customers: list[Customer] = []
-        for index, group in enumerate(plan.plans):
-            for _ in range(group.customers):
-                greed = group.greed if self.dice.random() < group.greedy else 1.0
-                rate = (group.rate or 1.0) * group.demand * greed * world.press / SECOND
-                spread = min(plan.gateways, group.gateways)
-                self.customers.append(
-                    Customer(
-                        int(self.dice.integers(1, 1 << 33)),
-                        group,
-                        index,
-                        int(self.dice.integers(plan.gateways)),
-                        spread,
-                        rate,
-                        [],
-                        group.burst,
-                        0,
-                        group.burst,
-                    )
-                )
+        for index, plan in enumerate(config.plans):
+            for _ in range(plan.customers):
+                self.customers.append(self._draw_customer(plan, index))
+
+    def _draw_customer(self, plan: PlanConfig, plan_index: int) -> Customer:
+        gateways = self.world.config.gateways
+        greed = plan.greed if self.rng.random() < plan.greedy else 1.0
+        rate = (plan.rate or 1.0) * plan.demand * greed * self.world.demand_scale / SECOND
+        return Customer(
+            number=int(self.rng.integers(1, 1 << 33)),
+            plan=plan,
+            plan_index=plan_index,
+            first_gateway=int(self.rng.integers(gateways)),
+            spread=min(gateways, plan.gateways),
+            rate=rate,
+            tokens=plan.burst,
+            asked_tokens=plan.burst,
+        )
 
     def start(self) -> None:
+        """Schedules the first RPC of every customer."""
         for customer in self.customers:
-            self._shift(customer)
-            self._later(customer)
+            self._redraw_weights(customer)
+            self._schedule_next(customer)
 
-    def _shift(self, customer: Customer) -> None:
+    def _redraw_weights(self, customer: Customer) -> None:
         if self.closed:
             return
-        uneven = self.world.plan.clients.uneven
-        customer.weights = list(accumulate((1 - uneven) + uneven * 4 * self.dice.random(customer.spread) ** 4))
-        self.world.loop.after(SHIFT, EventKind.CLIENT, self._shift, customer)
+        unevenness = self.world.config.clients.unevenness
+        customer.weights = list(accumulate((1 - unevenness) + unevenness * 4 * self.rng.random(customer.spread) ** 4))
+        self.world.loop.after(WEIGHTS_PERIOD, EventKind.CLIENT, self._redraw_weights, customer)
 
-    def _later(self, customer: Customer) -> None:
-        wait = self.dice.exponential(1 / (customer.rate * self.world.surge))
-        self.world.loop.after(max(1, round(wait)), EventKind.CLIENT, self._ask, customer)
+    def _schedule_next(self, customer: Customer) -> None:
+        delay = self.rng.exponential(1 / (customer.rate * self.world.surge))
+        self.world.loop.after(max(1, round(delay)), EventKind.CLIENT, self._send_new, customer)
 
-    def _ask(self, customer: Customer) -> None:
+    def _send_new(self, customer: Customer) -> None:
         if self.closed:
             return
         now = self.world.loop.now
-        self._later(customer)
-        at = bisect(self.shares, self.dice.random() * self.shares[-1])
-        method = self.world.plan.methods[min(at, len(self.shares) - 1)]
-        wish = ClientRequest(customer, method, min(at, len(self.shares) - 1), 1.0, now, now + method.deadline)
+        self._schedule_next(customer)
+        drawn = bisect(self.cumulative_shares, self.rng.random() * self.cumulative_shares[-1])
+        index = min(drawn, len(self.cumulative_shares) - 1)
+        method = self.world.config.methods[index]
+        request = ClientRequest(customer, method, index, 1.0, now, now + method.deadline)
         self.world.metrics.add("asked", now)
-        if self._asks_inside(customer, wish.units, now):
+        if self._asks_inside_quota(customer, request.units, now):
             self.world.metrics.add("utility asked", now, method.utility * customer.plan.price)
-        self._try(wish)
+        self._try(request)
 
-    def _asks_inside(self, customer: Customer, units: float, now: int) -> bool:
-        """Whatever the policy does: what is asked for inside the quota is the same for all."""
+    # Quotas, as they truly are
+
+    def _asks_inside_quota(self, customer: Customer, units: float, now: int) -> bool:
+        """Whether a first try is inside the quota, independent of what the policy grants."""
         plan = customer.plan
         if not plan.rate:
             return True
-        customer.asked = min(plan.burst, customer.asked + (now - customer.asked_at) * plan.rate / SECOND)
+        refill = (now - customer.asked_at) * plan.rate / SECOND
+        customer.asked_tokens = min(plan.burst, customer.asked_tokens + refill)
         customer.asked_at = now
-        inside = customer.asked >= units
-        customer.asked -= units * inside
+        inside = customer.asked_tokens >= units
+        customer.asked_tokens -= units * inside
         return inside
 
     def refill(self, customer: Customer, now: int) -> float:
+        """Updates a customer's tokens to now and returns them, in units."""
         plan = customer.plan
         if plan.rate:
-            customer.tokens = min(plan.burst, customer.tokens + (now - customer.updated) * plan.rate / SECOND)
-            customer.updated = now
+            customer.tokens = min(plan.burst, customer.tokens + (now - customer.tokens_at) * plan.rate / SECOND)
+            customer.tokens_at = now
         return customer.tokens
 
-    def _inside(self, customer: Customer, units: float, now: int) -> bool:
+    def _inside_quota(self, customer: Customer, units: float, now: int) -> bool:
         return not customer.plan.rate or self.refill(customer, now) >= units
 
-    def gateway_for(self, customer: Customer) -> GatewayModel | None:
-        """A gateway of its set, as the weights say; those long down are passed over."""
+    def sent_on(self, exchange: Exchange, customer: Customer) -> None:
+        """Draws the units of a try whose first call-out reached a server, inside the quota or beyond it."""
+        now = self.world.loop.now
+        inside = self._inside_quota(customer, exchange.units, now)
+        if customer.plan.rate:
+            if inside:
+                customer.tokens -= exchange.units
+            else:
+                value = exchange.watched.method.utility * customer.plan.price
+                self.world.metrics.add("granted beyond quota", now, exchange.units)
+                self.world.metrics.add("price of beyond", now, value * customer.plan.beyond_cost)
+        exchange.watched.beyond_quota = not inside
+
+    # Tries
+
+    def choose_gateway(self, customer: Customer) -> GatewayModel | None:
+        """Draws one of the customer's gateways; gateways known to be down are skipped. None if no draw succeeds."""
         world = self.world
-        for _ in range(4):
-            at = bisect(customer.weights, self.dice.random() * customer.weights[-1])
-            gateway = world.gateways[(customer.first + min(at, customer.spread - 1)) % world.plan.gateways]
-            if gateway.up or world.loop.now < world.down_since.get(gateway.number, 0) + world.plan.discovery.notice:
+        for _ in range(GATEWAY_DRAWS):
+            drawn = bisect(customer.weights, self.rng.random() * customer.weights[-1])
+            offset = min(drawn, customer.spread - 1)
+            gateway = world.gateways[(customer.first_gateway + offset) % world.config.gateways]
+            noticed_at = world.gateway_down_since.get(gateway.number, 0) + world.config.discovery.notice_time
+            if gateway.up or world.loop.now < noticed_at:
                 return gateway
         return None
 
-    def _try(self, wish: ClientRequest) -> None:
+    def _try(self, request: ClientRequest) -> None:
         world, now = self.world, self.world.loop.now
-        wish.tries += 1
-        left = min(wish.until - now, round(wish.method.deadline * (0.5 + 0.5 * self.dice.random())))
-        gateway = self.gateway_for(wish.customer)
-        if left <= 0 or gateway is None or not gateway.up:
+        request.tries += 1
+        time_left = min(request.deadline - now, round(request.method.deadline * (0.5 + 0.5 * self.rng.random())))
+        gateway = self.choose_gateway(request.customer)
+        if time_left <= 0 or gateway is None or not gateway.up:
             world.metrics.add("no gateway", now)
-            self._again(wish, 0)
+            self._retry(request, 0)
             return
         world.metrics.add("tries", now)
         world.loop.after(
-            world.plan.links.client, EventKind.CLIENT, self._reach, wish, gateway, gateway.life, now + left
+            world.config.links.client_delay,
+            EventKind.CLIENT,
+            self._arrive,
+            request,
+            gateway,
+            gateway.incarnation,
+            now + time_left,
         )
 
-    def _reach(self, wish: ClientRequest, gateway: GatewayModel, life: int, until: int) -> None:
+    def _arrive(self, request: ClientRequest, gateway: GatewayModel, incarnation: int, deadline: int) -> None:
         world, now = self.world, self.world.loop.now
-        if not gateway.up or gateway.life != life:
-            self._again(wish, 0)
+        if not gateway.up or gateway.incarnation != incarnation:
+            self._retry(request, 0)
             return
-        if now >= until:  # its client gave up while it was on its way: nothing is owed
+        if now >= deadline:  # the client gave up before the RPC arrived, so no answer is owed
             world.metrics.add("given up on the way", now)
-            self._again(wish, 0)
+            self._retry(request, 0)
             return
         self.next_rpc += 1
-        rpc, customer = self.next_rpc, wish.customer
-        watched = WatchedRpc(wish.method, customer.number, customer.plan, gateway.number, now, until)
+        rpc, customer = self.next_rpc, request.customer
+        watched = WatchedRpc(request.method, customer.number, customer.plan, gateway.number, now, deadline)
         exchange = Exchange(
-            rpc, watched, wish.units, lambda answer, advice: self._answered(wish, exchange, answer, advice)
+            rpc, watched, request.units, lambda answer, advice: self._answered(request, exchange, answer, advice)
         )
-        world.checker.took(rpc, watched)
+        world.checker.rpc_accepted(rpc, watched)
         arrival = interface.RpcArrived(
             0,
             customer.number,
-            wish.method_index,
+            request.method_index,
             customer.plan_index,
-            wish.units,
-            customer.first,
+            request.units,
+            customer.first_gateway,
             customer.spread,
-            until - now,
-            wish.tries > 1,
+            deadline - now,
+            request.tries > 1,
         )
-        world.loop.at(until + world.plan.links.client, EventKind.CLIENT, self._given_up, wish, exchange, gateway, life)
-        world.loop.at(until + world.plan.answer_grace + 1, EventKind.LOOK, world.checker.overdue, rpc, until)
-        gateway.arrive(exchange, arrival)
+        give_up_at = deadline + world.config.links.client_delay
+        overdue_at = deadline + world.config.answer_grace + 1
+        world.loop.at(give_up_at, EventKind.CLIENT, self._give_up, request, exchange, gateway, incarnation)
+        world.loop.at(overdue_at, EventKind.MEASUREMENT, world.checker.check_overdue, rpc, deadline)
+        gateway.receive_rpc(exchange, arrival)
 
-    def sent_on(self, exchange: Exchange, customer: Customer) -> None:
-        """The first call-out of a try reached a server whole: its units leave the quota, inside or beyond it."""
+    def _answered(self, request: ClientRequest, exchange: Exchange, answer: str, advice: int) -> None:
         now = self.world.loop.now
-        inside = self._inside(customer, exchange.units, now)
-        if customer.plan.rate:
-            if inside:
-                customer.tokens -= exchange.units
-            else:
-                value = exchange.watched.method.utility * customer.plan.price
-                self.world.metrics.add("granted beyond quota", now, exchange.units)
-                self.world.metrics.add("price of beyond", now, value * customer.plan.beyond_cost)
-        exchange.watched.beyond = not inside
-
-    def _answered(self, wish: ClientRequest, exchange: Exchange, answer: str, advice: int) -> None:
-        world, now = self.world, self.world.loop.now
-        beyond = exchange.watched.beyond
-        world.checker.answer(exchange.rpc, now, answer)
-        world.metrics.add(answer, now)
-        customer = wish.customer
+        self.world.checker.rpc_answered(exchange.rpc, now, answer)
+        self.world.metrics.add(answer, now)
         if answer == "ok":
-            took = now + world.plan.links.client - wish.born
-            world.metrics.latency_of(now, took)
-            value = wish.method.utility * customer.plan.price
-            in_time = took <= wish.method.soft_deadline
-            if not beyond:
-                world.metrics.add("utility", now, value if in_time else value * wish.method.late_utility)
+            self._record_success(request, exchange, now)
         elif answer == "pushed back":
-            if (
-                customer.plan.rate
-                and not exchange.watched.call_outs
-                and self.refill(customer, now) >= max(1.0, customer.plan.burst / 2)
-            ):
-                world.metrics.add("pushed back with room", now)
-            self._again(wish, advice)
-
-    def _given_up(self, wish: ClientRequest, exchange: Exchange, gateway: GatewayModel, life: int) -> None:
-        """The client closes its connection, and asks once more if it has the time."""
+            if self._had_room(request.customer, exchange, now):
+                self.world.metrics.add("pushed back with room", now)
+            self._retry(request, advice)
+
+    def _record_success(self, request: ClientRequest, exchange: Exchange, now: int) -> None:
+        latency = now + self.world.config.links.client_delay - request.created_at
+        self.world.metrics.record_latency(now, latency)
+        value = request.method.utility * request.customer.plan.price
+        if latency > request.method.soft_deadline:
+            value = value * request.method.late_utility
+        if not exchange.watched.beyond_quota:
+            self.world.metrics.add("utility", now, value)
+
+    def _had_room(self, customer: Customer, exchange: Exchange, now: int) -> bool:
+        """Whether an RPC was pushed back unsent while its customer had at least half of its burst left."""
+        if not customer.plan.rate or exchange.watched.call_outs:
+            return False
+        return self.refill(customer, now) >= max(1.0, customer.plan.burst / 2)
+
+    def _give_up(self, request: ClientRequest, exchange: Exchange, gateway: GatewayModel, incarnation: int) -> None:
+        """Closes the client's connection, and retries if there is time left."""
         if not exchange.over:
-            gateway.client_gone(exchange, life)
-            self._again(wish, 0)
+            gateway.client_disconnected(exchange, incarnation)
+            self._retry(request, 0)
 
-    def _again(self, wish: ClientRequest, advice: int) -> None:
-        clients, now = self.world.plan.clients, self.world.loop.now
-        wait = max(clients.wait, advice if clients.heeds_advice else 0)
-        if wish.tries <= clients.retries and now + wait < wish.until:
+    def _retry(self, request: ClientRequest, advice: int) -> None:
+        clients, now = self.world.config.clients, self.world.loop.now
+        wait = max(clients.retry_delay, advice if clients.honors_retry_after else 0)
+        if request.tries <= clients.retries and now + wait < request.deadline:
             self.world.metrics.add("retries", now)
-            self.world.loop.after(max(1, wait), EventKind.CLIENT, self._try, wish)
+            self.world.loop.after(max(1, wait), EventKind.CLIENT, self._try, request)
--- a/oakfork/lab/environment.py
+++ b/oakfork/lab/environment.py
@@ -1,4 +1,4 @@
-"""What the gateways of the model see of its world: types only, so that no part of the model needs to know the whole."""
+"""Interfaces between a simulated gateway and the world around it: types only, so that modules do not import `world`."""
 
 from dataclasses import dataclass, field
 from typing import Any, Callable, Mapping, Protocol, Sequence
@@ -12,9 +12,11 @@
 
 
 class Policy(Protocol):
-    """What decides: the decision module, or a baseline in its place."""
+    """The decision module, or a baseline in its place."""
 
-    def handle(self, now: int, event: interface.Event) -> Sequence[interface.Command]: ...
+    def handle(self, now: int, event: interface.Event) -> Sequence[interface.Command]:
+        """Returns the commands that an event leads to."""
+        ...
 
 
 PolicyFactory = Callable[[interface.GatewaySettings, int], Policy]
@@ -22,9 +24,11 @@
 
 @dataclass(slots=True)
 class CallOut:
+    """One call-out of an RPC to a server."""
+
     number: int
     server: Server
-    sent_at: int
+    sent_at: int  # tenths of a millisecond
     job: Job | None = None
     over: bool = False
     reached: bool = False
@@ -37,11 +41,11 @@
     rpc: int
     watched: WatchedRpc
     units: float
-    answered: Callable[[str, int], None]  # called with the answer's word and the advice
+    on_answer: Callable[[str, int], None]  # called with the answer's name and the advised wait
     index: int = -1
     over: bool = False
     call_outs: dict[int, CallOut] = field(default_factory=dict)
-    sent: int = 0
+    sent: int = 0  # call-outs
 
 
 class GatewayHost(Protocol):
@@ -49,30 +53,58 @@
 
     number: int
     zone: int
-    life: int
+    incarnation: int
     up: bool
 
-    def handle(self, event: interface.Event, index: int | None = None) -> None: ...
+    def handle(self, event: interface.Event, index: int | None = None) -> None:
+        """Passes an event to the gateway's policy; `index` is the RPC that the event may end."""
+        ...
 
 
 class CounterService(Protocol):
-    def call(self, gateway: Any, call: interface.AddToCounter) -> None: ...
+    """The shared counter as a gateway sees it."""
+
+    def call(self, gateway: Any, call: interface.AddToCounter) -> None:
+        """Starts a call; the gateway gets a CounterReplied event."""
+        ...
+
+
+class ServerAccessService(Protocol):
+    """The way from gateways to servers."""
+
+    def deliver(self, gateway: Any, exchange: Exchange, call_out: CallOut, fresh: bool, incarnation: int) -> None:
+        """Handles the arrival of a call-out's last byte at its server; `fresh` means on a new connection."""
+        ...
+
+    def probe(self, gateway: Any, index: int) -> None:
+        """Sends a probe; the gateway gets a ProbeEnded event."""
+        ...
 
 
 class GatewayEnvironment(Protocol):
-    """The world as a gateway of the model sees it."""
+    """The world as a simulated gateway sees it."""
 
-    plan: WorldConfig
+    config: WorldConfig
     loop: EventLoop
     checker: InvariantChecker
     metrics: RunMetrics
-    decide: PolicyFactory
+    policy_factory: PolicyFactory
     counter: CounterService
+    server_access: ServerAccessService
 
     @property
-    def servers(self) -> Mapping[int, Server]: ...
-    def gateway_settings(self, index: int, zone: int) -> interface.GatewaySettings: ...
-    def distance(self, one: int, other: int) -> int: ...
-    def frame(self, sender: Any, peer: int, data: bytes) -> None: ...
-    def reach(self, gateway: Any, exchange: Exchange, call_out: CallOut, fresh: bool, life: int) -> None: ...
-    def probe(self, gateway: Any, index: int) -> None: ...
+    def servers(self) -> Mapping[int, Server]:
+        """All servers by number."""
+        ...
+
+    def gateway_settings(self, index: int, zone: int) -> interface.GatewaySettings:
+        """Settings for a gateway that starts; each call draws a new seed."""
+        ...
+
+    def distance(self, zone: int, other_zone: int) -> int:
+        """One-way delay between a gateway and a server, in tenths of a millisecond."""
+        ...
+
+    def send_peer_frame(self, sender: Any, peer: int, data: bytes) -> None:
+        """Sends a frame to one peer or to all."""
+        ...
--- a/oakfork/lab/experiment.py
+++ b/oakfork/lab/experiment.py
@@ -1,6 +1,6 @@
-"""Experiment files: checked by a schema, expanded to runs. What is wrong is named with its place, before anything runs.
+"""Reads experiment files, checks them by the schema, and expands them into runs.
 
-The schema is the one source for the check and for the table in docs/lab.md.
+Every fault in a file is reported with its place before anything runs.
 """
 
 import hashlib
@@ -14,211 +14,23 @@
 from oakfork.errors import ExperimentError
 from oakfork.interface import SECOND, RepeatSafety
 from oakfork.lab import world_config
-from oakfork.lab.baseline_policies import POLICIES
+from oakfork.lab.experiment_schema import FAULT, FAULTS_WITH_SIZE, SCHEMA, WORLD
 from oakfork.settings import tenths
 
-LARGEST_FILE = 256 * 1024
-MOST_RUNS = 5_000
-FAULTS = (
-    "kill_gateways",
-    "roll_gateways",
-    "kill_servers",
-    "replace_servers",
-    "hang",
-    "slow",
-    "fail_fast",
-    "cut_servers",
-    "lose_frames",
-    "cut_peers",
-    "deafen",
-    "cut_zone",
-    "late_lists",
-    "surge",
-    "counter_down",
-)
-SIZED = frozenset(("slow", "fail_fast", "lose_frames", "late_lists", "surge"))
-
-
-def _number(default: float, low: float, high: float, text: str) -> dict[str, Any]:
-    return {"type": "number", "default": default, "minimum": low, "maximum": high, "description": text}
-
-
-def _whole(default: int, low: int, high: int, text: str) -> dict[str, Any]:
-    return _number(default, low, high, text) | {"type": "integer"}
-
-
-def _words(default: str, words: tuple[str, ...], text: str) -> dict[str, Any]:
-    return {"enum": list(words), "default": default, "description": text}
-
-
-def _truth(default: bool, text: str) -> dict[str, Any]:
-    return {"type": "boolean", "default": default, "description": text}
-
-
-def _table(properties: dict[str, Any], required: tuple[str, ...] = (), text: str = "") -> dict[str, Any]:
-    return {
-        "type": "object",
-        "additionalProperties": False,
-        "properties": properties,
-        "required": list(required),
-        "description": text,
-    }
-
-
-METHOD = _table(
-    {
-        "name": {"type": "string", "maxLength": 64, "description": "its name in results"},
-        "share": _number(1.0, 0.001, 1000, "how often it is asked for, against the others"),
-        "work_ms": _number(150.0, 0.1, 60_000, "mean work of one core"),
-        "spread": _words("exponential", ("exponential", "fixed", "lognormal"), "how work is distributed"),
-        "soft_ms": _number(2000.0, 1, 600_000, "soft deadline"),
-        "deadline_ms": _number(4000.0, 1, 600_000, "deadline"),
-        "repeat": _words("idempotent", ("idempotent", "deduplicated", "non-idempotent"), "whether it may run again"),
-        "group": _words("all", ("all", "zone", "cell"), "the servers that drop a repeat"),
-        "remembered_ms": _number(6000.0, 0, 600_000, "for how long they drop it"),
-        "utility": _number(1.0, 0, 1000, "of an answer within the soft deadline"),
-        "late_utility": _number(0.0, 0, 1, "the part of it that is left until the deadline"),
-    },
-    ("name",),
-    "a method",
-)
-PLAN = _table(
-    {
-        "name": {"type": "string", "maxLength": 64, "description": "its name in results"},
-        "customers": _whole(100, 1, 200_000, "how many"),
-        "rate": _number(1.0, 0, 100_000, "units a second inside the quota; 0: no quota"),
-        "burst": _number(5.0, 0, 100_000, "units that may be used at once"),
-        "ceiling_rate": _number(0.0, 0, 100_000, "units a second of the hard ceiling; 0: none"),
-        "ceiling_burst": _number(0.0, 0, 100_000, "units of the ceiling at once"),
-        "ceiling_slack": _number(1.0, 0, 100_000, "units by which it may be passed"),
-        "demand": _number(0.5, 0.001, 100, "what a customer asks for, as a part of its rate"),
-        "greedy": _number(0.0, 0, 1, "the share of customers that ask for `greed` times as much"),
-        "greed": _number(1.0, 0.01, 100, "how much more those ask for"),
-        "gateways": _whole(3, 1, 1000, "that a customer's RPCs come through"),
-        "price": _number(1.0, 0, 1000, "factor on utility"),
-        "beyond_cost": _number(1.0, 0, 100, "part of its utility that an RPC beyond the quota costs"),
-    },
-    ("name",),
-    "a plan",
-)
-WORLD = _table(
-    {
-        "seconds": _whole(20, 1, 3600, "simulated seconds in which clients ask"),
-        "gateways": _whole(3, 1, 1000, "in the tier"),
-        "zones": _whole(1, 1, 16, "gateways and servers are dealt out over them"),
-        "load": _number(0.6, 0, 5, "use inside the quotas as a part of what the fleet can do; 0: as demand says"),
-        "drain_grace_ms": _number(500.0, 0, 60_000, "after which nothing goes to a draining server"),
-        "answer_grace_ms": _number(16.0, 0, 10_000, "beyond a deadline"),
-        "probing": _truth(True, "gateways may probe"),
-        "second_copies": _truth(True, "an RPC may have two call-outs out"),
-        "retry_after": _truth(True, "pushbacks carry an advice"),
-        "max_call_outs": _whole(4, 1, 16, "for an RPC"),
-        "probe_price": _number(0.01, 0, 1, "of one probe for each RPC"),
-        "connection_price": _number(0.0, 0, 1, "of one new connection for each RPC"),
-        "methods": {"type": "array", "minItems": 1, "maxItems": 32, "items": METHOD},
-        "plans": {"type": "array", "minItems": 1, "maxItems": 32, "items": PLAN},
-        "servers": _table(
-            {
-                "count": _whole(12, 1, 2000, "at the start"),
-                "cores": _whole(3, 1, 128, "of each"),
-                "waiting": _whole(30, 0, 100_000, "that wait beyond the cores"),
-                "connections": _whole(1000, 1, 1_000_000, "that one holds"),
-                "cold_share": _number(0.25, 0.01, 1, "of its work that a server can do at its start"),
-                "cold_s": _number(15.0, 0, 600, "until it is warm"),
-                "fall_multiple": _number(3.0, 1, 100, "of what it can do: sent more, a cold server falls over"),
-                "fall_s": _number(3.0, 0.1, 60, "the time over which that counts"),
-                "cells": _whole(4, 1, 1000, "groups that know repeats"),
-            },
-            (),
-            "servers",
-        ),
-        "clients": _table(
-            {
-                "retries": _whole(1, 0, 100, "after the first try"),
-                "wait_ms": _number(100.0, 0, 60_000, "before a retry"),
-                "heeds_advice": _truth(True, "waits for the retry-after"),
-                "uneven": _number(0.5, 0, 1, "how unevenly a customer's RPCs come through its gateways"),
-            },
-            (),
-            "clients",
-        ),
-        "links": _table(
-            {
-                "client_ms": _number(0.5, 0, 10_000, "one way"),
-                "server_ms": _number(0.5, 0, 10_000, "one way"),
-                "peer_ms": _number(5.0, 0, 10_000, "mean, one way"),
-                "zone_ms": _number(1.0, 0, 10_000, "more between zones"),
-                "peer_loss": _number(0.01, 0, 1, "of frames"),
-                "mail_per_s": _number(100.0, 0, 1e6, "frames a gateway takes in"),
-                "handshake_ms": _number(3.0, 0, 10_000, "of a new connection"),
-                "idle_s": _number(15.0, 0, 3600, "it lasts unused"),
-                "connect_ms": _number(250.0, 1, 60_000, "patience for a connection"),
-            },
-            (),
-            "links",
-        ),
-        "discovery": _table(
-            {
-                "late_ms": _number(1000.0, 0, 60_000, "mean, to each gateway"),
-                "notice_ms": _number(2000.0, 0, 60_000, "until clients leave a gateway that is down"),
-            }
-        ),
-        "counter": _table(
-            {
-                "takes_ms": _number(2.0, 0, 10_000, "for a call"),
-                "patience_ms": _number(50.0, 1, 60_000, "for its answer"),
-            }
-        ),
-    },
-    ("methods", "plans"),
-    "the world",
-)
-FAULT = _table(
-    {
-        "kind": _words("kill_gateways", FAULTS, "what goes wrong"),
-        "at_s": _number(0.0, 0, 3600, "begins"),
-        "until_s": _number(0.0, 0, 3600, "ends"),
-        "share": _number(0.2, 0, 1, "of the gateways or servers"),
-        "size": _number(0.0, 0, 1000, "how much, by its kind"),
-        "zone": _whole(0, 0, 15, "which"),
-    },
-    ("kind", "at_s", "until_s"),
-    "a fault",
-)
-SCHEMA = {"$schema": "https://json-schema.org/draft/2020-12/schema"} | _table(
-    {
-        "name": {"type": "string", "pattern": "^[a-z0-9-]{1,64}$", "description": "names its results"},
-        "policies": {
-            "type": "array",
-            "minItems": 1,
-            "uniqueItems": True,
-            "items": {"enum": list(POLICIES)},
-            "description": "what decides",
-        },
-        "seeds": {
-            "type": "array",
-            "minItems": 1,
-            "maxItems": 1000,
-            "uniqueItems": True,
-            "items": {"type": "integer", "minimum": 0, "maximum": 2**53},
-            "description": "a run for each",
-        },
-        "world": WORLD,
-        "faults": {"type": "array", "maxItems": 200, "items": FAULT},
-        "sweep": {
-            "type": "object",
-            "maxProperties": 4,
-            "description": "paths such as world.gateways, with their values",
-            "additionalProperties": {"type": "array", "minItems": 1, "maxItems": 100},
-        },
-    },
-    ("name", "policies", "seeds", "world"),
-)
+LARGEST_FILE = 256 * 1024  # bytes
+MAX_RUNS = 5_000
+MAX_GATEWAY_SECONDS = 1_000_000  # gateways times simulated seconds
+MAX_CUSTOMERS = 500_000
+REPEAT_SAFETY = {
+    "idempotent": RepeatSafety.IDEMPOTENT,
+    "deduplicated": RepeatSafety.DEDUPLICATED,
+    "non-idempotent": RepeatSafety.NON_IDEMPOTENT,
+}
 
 
 @dataclass(frozen=True, slots=True)
 class Run:
-    """One run of a sweep; `point` has the swept values."""
+    """One run of a sweep; `point` has the swept paths with their values."""
 
     number: int
     policy: str
@@ -228,11 +40,14 @@
 
     @property
     def key(self) -> str:
+        """Identifies the run among those of its experiment."""
         return json.dumps([self.policy, self.seed, self.point])
 
 
 @dataclass(frozen=True, slots=True)
 class Experiment:
+    """A checked experiment file; `digest` is the SHA-256 of the file."""
+
     name: str
     digest: str
     policies: tuple[str, ...]
@@ -240,172 +55,212 @@
     runs: tuple[Run, ...]
 
 
-def faults_in(told: Any, schema: dict[str, Any] = SCHEMA) -> list[str]:
-    """Each fault by its path in the file."""
-    return against(schema, told)
+def read(path: str | Path) -> Experiment:
+    """Reads and checks a file; raises ExperimentError with every fault in it."""
+    document, text = read_toml(path, LARGEST_FILE, ExperimentError)
+    return checked(document, hashlib.sha256(text).hexdigest())
+
+
+def checked(document: dict[str, Any], digest: str = "") -> Experiment:
+    """Checks a parsed file and expands its runs; raises ExperimentError with every fault in it."""
+    if faults := faults_in(document):
+        raise ExperimentError(faults)
+    _check_run_count(document)
+    numbers = itertools.count()
+    runs: list[Run] = []
+    for point in _points(document):
+        world = _world_at(document, point)
+        runs += [
+            Run(next(numbers), policy, seed, point, world)
+            for seed in document["seeds"]
+            for policy in document["policies"]
+        ]
+    policies, seeds = tuple(document["policies"]), tuple(document["seeds"])
+    return Experiment(document["name"], digest, policies, seeds, tuple(runs))
+
+
+def faults_in(document: Any, schema: dict[str, Any] = SCHEMA) -> list[str]:
+    """The faults that the schema finds, each with its path in the file."""
+    return against(schema, document)
+
+
+def _check_run_count(document: dict[str, Any]) -> None:
+    count = len(document["policies"]) * len(document["seeds"])
+    for values in document.get("sweep", {}).values():
+        count *= len(values)
+    if count > MAX_RUNS:
+        raise ExperimentError([f"sweep: {count} runs, at most {MAX_RUNS}"])
+
+
+def _points(document: dict[str, Any]) -> Iterator[tuple[tuple[str, Any], ...]]:
+    """Every combination of the swept values."""
+    sweep = document.get("sweep", {})
+    for values in itertools.product(*sweep.values()):
+        yield tuple(zip(sweep, values, strict=True))
+
+
+def _world_at(document: dict[str, Any], point: tuple[tuple[str, Any], ...]) -> world_config.WorldConfig:
+    """The world at one point of the sweep; raises ExperimentError with every fault at that point."""
+    full = {key: document.get(key) for key in ("name", "policies", "seeds")}
+    full["world"] = _with_defaults(document["world"], WORLD)
+    full["faults"] = [_with_defaults(fault, FAULT) for fault in document.get("faults", ())]
+    found: list[str] = []
+    for path, value in point:
+        if not _set(full, path, value):
+            found.append(f"sweep.{path}: there is no such place")
+    found += faults_in(full) or _contradictions(full)
+    if found:
+        raise ExperimentError(list(dict.fromkeys(found)))
+    return _world_config(full["world"], full["faults"])
 
 
-def _filled(told: Any, schema: dict[str, Any]) -> Any:
-    """With the schema's defaults."""
+def _with_defaults(value: Any, schema: dict[str, Any]) -> Any:
+    """A value completed by the defaults of its schema."""
     if schema.get("type") == "object" and "properties" in schema:
-        told = told if told is not None else {}
+        table = value if value is not None else {}
         return {
-            key: _filled(told.get(key), part)
+            key: _with_defaults(table.get(key), part)
             for key, part in schema["properties"].items()
-            if key in told or "default" in part or part.get("type") in ("object", "array")
+            if key in table or "default" in part or part.get("type") in ("object", "array")
         }
     if schema.get("type") == "array":
-        return [_filled(item, schema["items"]) for item in told or ()]
-    return schema.get("default") if told is None else told
+        return [_with_defaults(item, schema["items"]) for item in value or ()]
+    return schema.get("default") if value is None else value
 
 
-def _contradictions(told: dict[str, Any]) -> list[str]:
-    found, world = [], told["world"]
+def _set(document: dict[str, Any], path: str, value: Any) -> bool:
+    """Sets a swept value at its path; returns False if there is no such place."""
+    table: Any = document
+    *parents, last = path.replace("[", ".").replace("]", "").split(".")
+    try:
+        for part in parents:
+            table = table[int(part)] if isinstance(table, list) else table[part]
+        if isinstance(table, list):
+            table[int(last)] = value
+        elif last in table:
+            table[last] = value
+        else:
+            return False
+    except (KeyError, IndexError, ValueError, TypeError):
+        return False
+    return True
+
+
+def _contradictions(document: dict[str, Any]) -> list[str]:
+    """Faults between values that are valid by themselves."""
+    world = document["world"]
+    found: list[str] = []
     for number, method in enumerate(world["methods"]):
         if method["soft_ms"] > method["deadline_ms"]:
             found.append(f"world.methods[{number}].soft_ms: beyond the deadline")
-    for number, group in enumerate(world["plans"]):
-        if group["ceiling_rate"] and group["ceiling_rate"] < group["rate"]:
+    for number, plan in enumerate(world["plans"]):
+        if plan["ceiling_rate"] and plan["ceiling_rate"] < plan["rate"]:
             found.append(f"world.plans[{number}].ceiling_rate: below the quota's rate")
-        if group["ceiling_rate"] and group["ceiling_burst"] < group["burst"]:
+        if plan["ceiling_rate"] and plan["ceiling_burst"] < plan["burst"]:
             found.append(f"world.plans[{number}].ceiling_burst: below the quota's burst")
-    for number, fault in enumerate(told["faults"]):
+    for number, fault in enumerate(document["faults"]):
         if fault["until_s"] <= fault["at_s"]:
             found.append(f"faults[{number}].until_s: not after at_s")
-        if fault["kind"] in SIZED and not fault["size"]:
+        if fault["kind"] in FAULTS_WITH_SIZE and not fault["size"]:
             found.append(f"faults[{number}].size: {fault['kind']} needs one")
         if fault["kind"] == "cut_zone" and fault["zone"] >= world["zones"]:
             found.append(f"faults[{number}].zone: there is no such zone")
-    most = sum(group["customers"] for group in world["plans"])
-    if world["seconds"] * world["gateways"] > 1_000_000 or most > 500_000:
+    customers = sum(plan["customers"] for plan in world["plans"])
+    if world["seconds"] * world["gateways"] > MAX_GATEWAY_SECONDS or customers > MAX_CUSTOMERS:
         found.append("world: larger than can be run (a million gateway seconds, half a million customers)")
     return found
 
 
-def _set(told: dict[str, Any], path: str, value: Any) -> bool:
-    """Puts a swept value in its place; False where there is none."""
-    where: Any = told
-    *parents, last = path.replace("[", ".").replace("]", "").split(".")
-    try:
-        for part in parents:
-            where = where[int(part)] if isinstance(where, list) else where[part]
-        if isinstance(where, list):
-            where[int(last)] = value
-        elif last in where:
-            where[last] = value
-        else:
-            return False
-    except (KeyError, IndexError, ValueError, TypeError):
-        return False
-    return True
-
-
-def _world(told: dict[str, Any], faults: list[dict[str, Any]]) -> world_config.WorldConfig:
-    repeats = {
-        "idempotent": RepeatSafety.IDEMPOTENT,
-        "deduplicated": RepeatSafety.DEDUPLICATED,
-        "non-idempotent": RepeatSafety.NON_IDEMPOTENT,
-    }
-    servers, clients, links = told["servers"], told["clients"], told["links"]
+def _world_config(world: dict[str, Any], faults: list[dict[str, Any]]) -> world_config.WorldConfig:
+    """Converts a complete world, with times in tenths of a millisecond."""
+    discovery, counter = world["discovery"], world["counter"]
     return world_config.WorldConfig(
-        seconds=told["seconds"],
-        gateways=told["gateways"],
-        zones=told["zones"],
-        load=told["load"],
-        drain_grace=tenths(told["drain_grace_ms"]),
-        answer_grace=tenths(told["answer_grace_ms"]),
-        probing=told["probing"],
-        second_copies=told["second_copies"],
-        retry_after=told["retry_after"],
-        max_call_outs=told["max_call_outs"],
-        probe_price=told["probe_price"],
-        connection_price=told["connection_price"],
-        methods=tuple(
-            world_config.MethodConfig(
-                m["name"],
-                m["share"],
-                tenths(m["work_ms"]),
-                m["spread"],
-                tenths(m["soft_ms"]),
-                tenths(m["deadline_ms"]),
-                repeats[m["repeat"]],
-                m["group"],
-                tenths(m["remembered_ms"]),
-                m["utility"],
-                m["late_utility"],
-            )
-            for m in told["methods"]
-        ),
-        plans=tuple(world_config.PlanConfig(**p) for p in told["plans"]),
-        servers=world_config.ServerConfig(
-            servers["count"],
-            servers["cores"],
-            servers["waiting"],
-            servers["connections"],
-            servers["cold_share"],
-            round(servers["cold_s"] * SECOND),
-            servers["fall_multiple"],
-            round(servers["fall_s"] * SECOND),
-            servers["cells"],
-        ),
-        clients=world_config.ClientConfig(
-            clients["retries"], tenths(clients["wait_ms"]), clients["heeds_advice"], clients["uneven"]
-        ),
-        links=world_config.LinkConfig(
-            tenths(links["client_ms"]),
-            tenths(links["server_ms"]),
-            tenths(links["peer_ms"]),
-            tenths(links["zone_ms"]),
-            links["peer_loss"],
-            links["mail_per_s"],
-            tenths(links["handshake_ms"]),
-            round(links["idle_s"] * SECOND),
-            tenths(links["connect_ms"]),
-        ),
+        seconds=world["seconds"],
+        gateways=world["gateways"],
+        zones=world["zones"],
+        load=world["load"],
+        drain_grace=tenths(world["drain_grace_ms"]),
+        answer_grace=tenths(world["answer_grace_ms"]),
+        probing=world["probing"],
+        second_copies=world["second_copies"],
+        retry_after=world["retry_after"],
+        max_call_outs=world["max_call_outs"],
+        probe_price=world["probe_price"],
+        connection_price=world["connection_price"],
+        methods=tuple(_method_config(method) for method in world["methods"]),
+        plans=tuple(world_config.PlanConfig(**plan) for plan in world["plans"]),
+        servers=_server_config(world["servers"]),
+        clients=_client_config(world["clients"]),
+        links=_link_config(world["links"]),
         discovery=world_config.DiscoveryConfig(
-            tenths(told["discovery"]["late_ms"]), tenths(told["discovery"]["notice_ms"])
+            list_delay=tenths(discovery["late_ms"]), notice_time=tenths(discovery["notice_ms"])
         ),
-        counter=world_config.CounterConfig(tenths(told["counter"]["takes_ms"]), tenths(told["counter"]["patience_ms"])),
-        faults=tuple(
-            world_config.Fault(
-                f["kind"], round(f["at_s"] * SECOND), round(f["until_s"] * SECOND), f["share"], f["size"], f["zone"]
-            )
-            for f in faults
+        counter=world_config.CounterConfig(
+            round_trip=tenths(counter["takes_ms"]), timeout=tenths(counter["patience_ms"])
         ),
+        faults=tuple(_fault(fault) for fault in faults),
     )
 
 
-def _points(told: dict[str, Any]) -> Iterator[tuple[tuple[str, Any], ...]]:
-    sweep = told.get("sweep", {})
-    for values in itertools.product(*sweep.values()):
-        yield tuple(zip(sweep, values, strict=True))
+def _method_config(method: dict[str, Any]) -> world_config.MethodConfig:
+    return world_config.MethodConfig(
+        name=method["name"],
+        share=method["share"],
+        work=tenths(method["work_ms"]),
+        spread=method["spread"],
+        soft_deadline=tenths(method["soft_ms"]),
+        deadline=tenths(method["deadline_ms"]),
+        repeat=REPEAT_SAFETY[method["repeat"]],
+        group=method["group"],
+        deduplication_time=tenths(method["remembered_ms"]),
+        utility=method["utility"],
+        late_utility=method["late_utility"],
+    )
 
 
-def read(path: str | Path) -> Experiment:
-    """Reads and checks a file; raises ExperimentError with all that is wrong."""
-    told, text = read_toml(path, LARGEST_FILE, ExperimentError)
-    return checked(told, hashlib.sha256(text).hexdigest())
+def _server_config(servers: dict[str, Any]) -> world_config.ServerConfig:
+    return world_config.ServerConfig(
+        count=servers["count"],
+        cores=servers["cores"],
+        queue_length=servers["waiting"],
+        connections=servers["connections"],
+        cold_share=servers["cold_share"],
+        cold_time=round(servers["cold_s"] * SECOND),
+        fall_multiple=servers["fall_multiple"],
+        fall_time=round(servers["fall_s"] * SECOND),
+        cells=servers["cells"],
+    )
 
 
-def checked(told: dict[str, Any], digest: str = "") -> Experiment:
-    if found := faults_in(told):
-        raise ExperimentError(found)
-    number, found = itertools.count(), []
-    count = len(told["policies"]) * len(told["seeds"])
-    for values in told.get("sweep", {}).values():
-        count *= len(values)
-    if count > MOST_RUNS:
-        raise ExperimentError([f"sweep: {count} runs, at most {MOST_RUNS}"])
-    runs: list[Run] = []
-    for point in _points(told):
-        full = {key: told.get(key) for key in ("name", "policies", "seeds")}
-        full |= {"world": _filled(told["world"], WORLD), "faults": [_filled(f, FAULT) for f in told.get("faults", ())]}
-        for path, value in point:
-            if not _set(full, path, value):
-                found.append(f"sweep.{path}: there is no such place")
-        found += faults_in(full) or _contradictions(full)
-        if found:
-            raise ExperimentError(list(dict.fromkeys(found)))
-        world = _world(full["world"], full["faults"])
-        runs += [Run(next(number), policy, seed, point, world) for seed in told["seeds"] for policy in told["policies"]]
-    return Experiment(told["name"], digest, tuple(told["policies"]), tuple(told["seeds"]), tuple(runs))
+def _client_config(clients: dict[str, Any]) -> world_config.ClientConfig:
+    return world_config.ClientConfig(
+        retries=clients["retries"],
+        retry_delay=tenths(clients["wait_ms"]),
+        honors_retry_after=clients["heeds_advice"],
+        unevenness=clients["uneven"],
+    )
+
+
+def _link_config(links: dict[str, Any]) -> world_config.LinkConfig:
+    return world_config.LinkConfig(
+        client_delay=tenths(links["client_ms"]),
+        server_delay=tenths(links["server_ms"]),
+        peer_delay=tenths(links["peer_ms"]),
+        zone_delay=tenths(links["zone_ms"]),
+        peer_loss=links["peer_loss"],
+        peer_frames_per_s=links["mail_per_s"],
+        handshake_time=tenths(links["handshake_ms"]),
+        idle_timeout=round(links["idle_s"] * SECOND),
+        connect_timeout=tenths(links["connect_ms"]),
+    )
+
+
+def _fault(fault: dict[str, Any]) -> world_config.Fault:
+    return world_config.Fault(
+        kind=fault["kind"],
+        at=round(fault["at_s"] * SECOND),
+        until=round(fault["until_s"] * SECOND),
+        share=fault["share"],
+        size=fault["size"],
+        zone=fault["zone"],
+    )
--- a/oakfork/lab/world_config.py
+++ b/oakfork/lab/world_config.py
@@ -1,4 +1,7 @@
-"""What a world is made of, as an experiment file describes it: types only. Times are tenths of a millisecond."""
+"""Configuration of a simulated world, as an experiment file describes it: types only.
+
+Times and durations are tenths of a millisecond unless a name or comment says otherwise.
+"""
 
 from dataclasses import dataclass, field
 
@@ -7,106 +10,124 @@
 
 @dataclass(frozen=True, slots=True)
 class MethodConfig:
+    """One method of the API: its work, deadlines and repeat safety."""
+
     name: str
-    share: float
-    work: float  # mean, of one core
-    spread: str  # how work is distributed: exponential, fixed or lognormal
+    share: float  # weight among the methods
+    work: float  # mean, on one core
+    spread: str  # distribution of work: exponential, fixed or lognormal
     soft_deadline: int
     deadline: int
     repeat: RepeatSafety
-    group: str
+    group: str  # servers that recognize a repeat: all, zone or cell
     deduplication_time: int
     utility: float
-    late_utility: float
+    late_utility: float  # fraction of the utility left between the soft deadline and the deadline
 
 
 @dataclass(frozen=True, slots=True)
 class PlanConfig:
+    """One plan, and the customers that have it."""
+
     name: str
     customers: int
-    rate: float  # units a second inside the quota; 0: no quota
-    burst: float
-    ceiling_rate: float
-    ceiling_burst: float
-    ceiling_slack: float
-    demand: float  # what a customer asks for, as a part of its rate (of one a second without a quota)
-    greedy: float  # the share of customers that ask for `greed` times as much
+    rate: float  # units per second inside the quota; 0: no quota
+    burst: float  # units
+    ceiling_rate: float  # units per second; 0: no ceiling
+    ceiling_burst: float  # units
+    ceiling_slack: float  # units
+    demand: float  # what a customer asks for, as a fraction of its rate (of one per second without a quota)
+    greedy: float  # fraction of customers that ask for `greed` times as much
     greed: float
-    gateways: int  # that a customer's RPCs come through
-    price: float
-    beyond_cost: float
+    gateways: int  # gateways through which a customer's RPCs come
+    price: float  # factor on utility
+    beyond_cost: float  # fraction of its utility that an RPC beyond the quota costs
 
 
 @dataclass(frozen=True, slots=True)
 class ServerConfig:
+    """What every server can do."""
+
     count: int
     cores: int
-    waiting: int  # what waits beyond the cores; more is turned away
-    connections: int  # that it holds in all
-    cold_share: float
-    cold_time: int
-    fall_multiple: float
-    fall_time: int
+    queue_length: int  # beyond the cores; further work is rejected
+    connections: int  # at most, in all
+    cold_share: float  # fraction of its capacity that a server has when it starts
+    cold_time: int  # until a server is warm
+    fall_multiple: float  # a cold server fails when it is sent more than this multiple of its capacity
+    fall_time: int  # window over which that work is summed
     cells: int
 
 
 @dataclass(frozen=True, slots=True)
 class ClientConfig:
+    """How clients retry and choose gateways."""
+
     retries: int
-    wait: int
-    heeds_advice: bool  # waits for the retry-after where that is longer
-    uneven: float  # 0: a customer's RPCs come evenly through its gateways; 1: strongly uneven
+    retry_delay: int
+    honors_retry_after: bool  # waits for the retry-after where that is longer
+    unevenness: float  # 0: a customer's RPCs are spread evenly over its gateways; 1: strongly unevenly
 
 
 @dataclass(frozen=True, slots=True)
 class LinkConfig:
-    client: int  # one way
-    server: int
-    peer: int  # mean; exponential above half of it
-    zone: int  # beside those, between zones
-    peer_loss: float
-    peer_frames_per_s: float
-    handshake: int  # a new connection takes so long
-    idle: int  # and lasts for so long unused
-    connect_patience: int
+    """Delays and losses between clients, gateways and servers."""
+
+    client_delay: int  # one way
+    server_delay: int  # one way
+    peer_delay: int  # mean, one way: half of it is fixed, the rest exponential
+    zone_delay: int  # added between zones
+    peer_loss: float  # fraction of frames
+    peer_frames_per_s: float  # that a gateway accepts
+    handshake_time: int  # of a new connection
+    idle_timeout: int  # lifetime of an unused connection
+    connect_timeout: int  # timeout for a new connection
 
 
 @dataclass(frozen=True, slots=True)
 class DiscoveryConfig:
-    late: int  # mean; each gateway is told at its own time
-    notice: int  # after which clients no longer come to a gateway that is down
+    """How soon changes of the server list and failed gateways are noticed."""
+
+    list_delay: int  # mean delay of a list; each gateway has its own
+    notice_time: int  # until clients stop using a gateway that is down
 
 
 @dataclass(frozen=True, slots=True)
 class CounterConfig:
-    takes: int  # for a call, one way and back
-    patience: int
+    """The shared counter of the central-bucket policy."""
+
+    round_trip: int
+    timeout: int
 
 
 @dataclass(frozen=True, slots=True)
 class Fault:
+    """One fault to inject between two times from the start of the run."""
+
     kind: str
     at: int
     until: int
-    share: float = 0.0
-    size: float = 0.0
+    share: float = 0.0  # fraction of the gateways or servers
+    size: float = 0.0  # magnitude; its unit depends on the kind
     zone: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class WorldConfig:
-    seconds: int
+    """Everything that a run of the simulation needs besides the policy and the seed."""
+
+    seconds: int  # simulated time in which clients send RPCs
     gateways: int
     zones: int
-    load: float  # of the servers' capacity by what is asked for inside the quotas; 0: as demand says
+    load: float  # demand inside the quotas as a fraction of the servers' capacity; 0: as each plan's demand says
     drain_grace: int
     answer_grace: int
     probing: bool
     second_copies: bool
     retry_after: bool
     max_call_outs: int
-    probe_price: float
-    connection_price: float
+    probe_price: float  # probes per RPC
+    connection_price: float  # new connections per RPC
     methods: tuple[MethodConfig, ...]
     plans: tuple[PlanConfig, ...]
     servers: ServerConfig
--- a/tests/test_experiments.py
+++ b/tests/test_experiments.py
@@ -6,25 +6,27 @@
 import random
 
 import pytest
-from lab_worlds import ROOT, SMALL, told
+from lab_worlds import ROOT, SMALL, small_experiment
 
-from oakfork.lab import experiment as files
+from oakfork.errors import ExperimentError
+from oakfork.lab import experiment
 from oakfork.lab.compare import compare
 from oakfork.lab.sweep import RESULTS, Sweep, load, play
 
 
-def _sweep(folder, workers, document=None, player=play):
-    document = document or told(sweep=None) | {
+def _sweep(folder, workers, player=play):
+    """A sweep of eight short runs: two sizes, two seeds, two policies."""
+    document = small_experiment() | {
         "seeds": [1, 2],
         "policies": ["oakfork", "random"],
         "sweep": {"world.gateways": [1, 3]},
     }
-    document["world"].pop("sweep", None)
     document["world"]["seconds"] = 2
-    return Sweep(files.checked(document, "digest"), folder, workers, player)
+    return Sweep(experiment.checked(document, "digest"), folder, workers, player)
 
 
-def test_the_same_file_and_seeds_give_the_same_bytes_whatever_the_workers(tmp_path):
+def test_the_same_file_and_seeds_give_the_same_bytes_for_any_number_of_workers(tmp_path):
+    """Results must not depend on the order in which runs end."""
     for name, workers in (("one", 1), ("three", 3)):
         assert _sweep(tmp_path / name, workers).run() == 0
     one, three = ((tmp_path / name / RESULTS).read_bytes() for name in ("one", "three"))
@@ -33,26 +35,28 @@
     assert first["file"] == "digest" and first["code"] and first["seeds"] == [1, 2]
 
 
-def test_an_interrupted_sweep_goes_on_where_it_was(tmp_path):
+def test_an_interrupted_sweep_repeats_only_missing_and_damaged_results(tmp_path):
+    """A result that was half written when the sweep was killed is run again; all others are kept."""
     _sweep(tmp_path, 2).run()
-    whole = (tmp_path / RESULTS).read_bytes()
+    complete = (tmp_path / RESULTS).read_bytes()
     (tmp_path / "runs/00003.json").unlink()
-    (tmp_path / "runs/00005.json").write_text('{"half')  # killed while it was written
+    (tmp_path / "runs/00005.json").write_text('{"half')
     played = []
     _sweep(tmp_path, 1).run(lambda run, result: played.append(run.number))
-    assert played == [3, 5] and (tmp_path / RESULTS).read_bytes() == whole
+    assert played == [3, 5] and (tmp_path / RESULTS).read_bytes() == complete
 
 
-def _crashes(run):
+def _crashing_player(run):
     if run.number == 2:
         raise ZeroDivisionError("on purpose")
     if run.number == 5:
-        os._exit(9)  # as if killed for its memory
+        os._exit(9)  # as if the kernel had killed it for its memory
     return {"played": run.number}
 
 
-def test_runs_that_crash_are_reported_and_the_others_go_on(tmp_path):
-    assert _sweep(tmp_path, 3, player=_crashes).run() == 2
+def test_runs_that_crash_are_reported_and_the_others_continue(tmp_path):
+    """Neither an exception nor the death of a worker process loses another run."""
+    assert _sweep(tmp_path, 3, player=_crashing_player).run() == 2
     results = [row["result"] for row in load(tmp_path)]
     assert results[2] == {"failed": "ZeroDivisionError: on purpose"} and results[5] == {"failed": "its process died"}
     assert [row.get("played") for row in results] == [0, 1, None, 3, 4, None, 6, 7]
@@ -75,9 +79,10 @@
         ({"faults": [{"kind": "cut_zone", "at_s": 1, "until_s": 2, "zone": 4}]}, "faults[0].zone"),
     ],
 )
-def test_files_that_are_not_usable_are_refused_with_the_place(change, place):
-    with pytest.raises(files.ExperimentError) as error:
-        files.checked(copy.deepcopy(SMALL) | change)
+def test_an_invalid_file_is_refused_with_the_place_of_its_fault(change, place):
+    """Every kind of fault must be found before anything runs."""
+    with pytest.raises(ExperimentError) as error:
+        experiment.checked(copy.deepcopy(SMALL) | change)
     assert any(place in fault for fault in error.value.faults), error.value.faults
 
 
@@ -93,38 +98,44 @@
     ],
 )
 def test_contradictory_and_enormous_worlds_are_refused(path, value, place):
+    """Values that are valid alone, and numbers that compare with nothing, must not reach a run."""
     document = copy.deepcopy(SMALL)
-    where = document["world"] | {"gateways": 1000}
-    document["world"] = where
+    document["world"] = document["world"] | {"gateways": 1000}
+    table = document["world"]
     *parents, last = path.split("__")
     for part in parents:
-        where = where[int(part)] if isinstance(where, list) else where.setdefault(part, {})
-    where[last] = value
-    with pytest.raises(files.ExperimentError) as error:
-        files.checked(document)
+        table = table[int(part)] if isinstance(table, list) else table.setdefault(part, {})
+    table[last] = value
+    with pytest.raises(ExperimentError) as error:
+        experiment.checked(document)
     assert any(place in fault for fault in error.value.faults)
 
 
-def test_random_damage_to_a_file_is_named_and_never_a_crash(tmp_path):
-    text, path, refused = (ROOT / "experiments/small.toml").read_bytes(), tmp_path / "damaged.toml", 0
+def test_random_damage_to_a_file_is_reported_and_never_a_crash(tmp_path):
+    """A damaged file raises ExperimentError with a text for each fault, or is still valid."""
+    text = (ROOT / "experiments/small.toml").read_bytes()
+    path = tmp_path / "damaged.toml"
+    refused = 0
     for seed in range(60):
-        dice, damaged = random.Random(seed), bytearray(text)
+        rng, damaged = random.Random(seed), bytearray(text)
         for _ in range(3):
-            at = dice.randrange(len(damaged))
-            damaged[at : at + dice.randrange(3)] = dice.randbytes(dice.randrange(3))
+            at = rng.randrange(len(damaged))
+            damaged[at : at + rng.randrange(3)] = rng.randbytes(rng.randrange(3))
         path.write_bytes(damaged)
         try:
-            files.read(path)
-        except files.ExperimentError as error:
+            experiment.read(path)
+        except ExperimentError as error:
             refused += 1
             assert all(error.faults)
     assert refused > 30
-    path.write_bytes(b"#" * (files.LARGEST_FILE + 1))
-    with pytest.raises(files.ExperimentError, match="over"):
-        files.read(path)
+    path.write_bytes(b"#" * (experiment.LARGEST_FILE + 1))
+    with pytest.raises(ExperimentError, match="over"):
+        experiment.read(path)
 
 
-def test_differences_are_told_from_noise_only_where_they_can_be():
+def test_a_difference_counts_only_if_its_confidence_interval_excludes_zero():
+    """Pairing by seed must find a difference that is smaller than that between seeds, and must not find noise."""
+
     def row(policy, seed, ok):
         return {
             "run": {"policy": policy, "seed": seed, "point": {}},
@@ -136,10 +147,10 @@
             },
         }
 
-    dice = random.Random(4)
+    rng = random.Random(4)
     rows = [row("a", seed, 50 + seed) for seed in range(8)]
-    rows += [row("b", seed, 55 + seed + dice.uniform(-1, 1)) for seed in range(8)]  # seeds differ more
-    rows += [row("c", seed, 50 + seed + dice.uniform(-9, 9)) for seed in range(8)]
+    rows += [row("b", seed, 55 + seed + rng.uniform(-1, 1)) for seed in range(8)]  # seeds differ by more
+    rows += [row("c", seed, 50 + seed + rng.uniform(-9, 9)) for seed in range(8)]
     rows += [{"run": {"policy": "a", "seed": 99, "point": {}}, "result": {"failed": "x"}}]
     goodput = {other: next(d for d in compare(rows, "a", other) if d.figure == "goodput share") for other in "bc"}
     assert goodput["b"].told_apart and goodput["b"].low < 0.05 < goodput["b"].high and goodput["b"].pairs == 8
