--- a/oakfork/lab/fault_schedule.py
+++ b/oakfork/lab/fault_schedule.py
@@ -1,4 +1,4 @@
-"""What goes wrong in a drill, and when: drawn from a seed, kept as a record, played again from either."""
+"""Schedules of faults for drills on real processes: drawn from a seed, stored as a record, and replayed from either."""
 
 import json
 import random
@@ -7,42 +7,63 @@
 from typing import Iterable, Sequence
 
 KINDS = ("kill", "stop", "leave", "cut", "cut one way", "lose", "delay", "double", "witness restarts")
-HOLDER = -1  # whoever holds the lease then
+KIND_WEIGHTS = (4, 4, 2, 3, 3, 2, 2, 2, 1)
+HOLDER = -1  # gateway number that stands for the current lease holder
+ALL_OTHERS = -1  # other side that stands for all other gateways
+FIRST_FAULT = 0.2  # seconds from the start of the drill
 
 
 @dataclass(frozen=True, slots=True)
 class Trouble:
-    at: float  # seconds from the start of the drill
+    """One fault. Times are seconds."""
+
+    at: float  # from the start of the drill
     kind: str
     whom: int  # a gateway, or HOLDER
-    other: int  # the other side of a cut; -1: all others
-    lasts: float  # until it is back, continued, healed
-    size: float  # loss, mean delay in seconds, share doubled
+    other: int  # the other side of a cut, or ALL_OTHERS
+    lasts: float  # until the fault is undone
+    size: float  # fraction lost, mean delay in seconds, or fraction doubled
 
 
 def draw(seed: int, gateways: int, seconds: float, scale: float, voters: Sequence[int] = ()) -> list[Trouble]:
-    """Troubles single and overlapping; `scale` is the length of a lease in seconds: they last a tenth of it to
-    twice."""
-    dice, found, at = random.Random(seed), [], 0.2
+    """Draws single and overlapping faults for a drill of `seconds` seconds.
+
+    `scale` is the duration of a lease in seconds: faults last between a tenth of it and twice as long. Faults that are
+    not at the holder are at one of `voters`, by default any gateway.
+    """
+    rng = random.Random(seed)
+    troubles: list[Trouble] = []
+    at = FIRST_FAULT
     voters = list(voters) or list(range(gateways))
     while at < seconds - scale:
-        kind = dice.choices(KINDS, (4, 4, 2, 3, 3, 2, 2, 2, 1))[0]
-        whom = HOLDER if dice.random() < 0.6 else dice.choice(voters)
-        other = dice.choice([-1, *range(gateways)])
-        size = {
-            "lose": dice.uniform(0.1, 0.7),
-            "delay": dice.uniform(0.01, 0.6) * scale,
-            "double": dice.uniform(0.1, 1.0),
-        }.get(kind, 0.0)
-        found.append(Trouble(round(at, 3), kind, whom, other, round(dice.uniform(0.1, 2.0) * scale, 3), round(size, 3)))
-        at += dice.expovariate(1 / scale) * dice.choice((0.3, 1.0, 2.0))  # some overlap
-    return found
+        troubles.append(_draw_one(rng, at, gateways, scale, voters))
+        at += rng.expovariate(1 / scale) * rng.choice((0.3, 1.0, 2.0))  # some overlap
+    return troubles
+
+
+def _draw_one(rng: random.Random, at: float, gateways: int, scale: float, voters: Sequence[int]) -> Trouble:
+    kind = rng.choices(KINDS, KIND_WEIGHTS)[0]
+    whom = HOLDER if rng.random() < 0.6 else rng.choice(voters)
+    other = rng.choice([ALL_OTHERS, *range(gateways)])
+    # All three are drawn whatever the kind, so that the draws after them do not depend on it.
+    sizes = {
+        "lose": rng.uniform(0.1, 0.7),
+        "delay": rng.uniform(0.01, 0.6) * scale,
+        "double": rng.uniform(0.1, 1.0),
+    }
+    size = sizes.get(kind, 0.0)
+    lasts = rng.uniform(0.1, 2.0) * scale
+    return Trouble(round(at, 3), kind, whom, other, round(lasts, 3), round(size, 3))
 
 
-def write(path: Path, troubles: Iterable[Trouble], **more: object) -> None:
-    path.write_text(json.dumps(more | {"troubles": [asdict(trouble) for trouble in troubles]}, indent=1) + "\n")
+def write(path: Path, troubles: Iterable[Trouble], **record: object) -> None:
+    """Writes a schedule as JSON, with what else belongs to the record of its drill."""
+    document = record | {"troubles": [asdict(trouble) for trouble in troubles]}
+    path.write_text(json.dumps(document, indent=1) + "\n")
 
 
 def read(path: Path) -> tuple[list[Trouble], dict[str, object]]:
-    told = json.loads(path.read_text())
-    return [Trouble(**trouble) for trouble in told.pop("troubles")], told
+    """The schedule of a record, and the rest of the record."""
+    record = json.loads(path.read_text())
+    troubles = [Trouble(**trouble) for trouble in record.pop("troubles")]
+    return troubles, record
--- a/tests/test_port_allocator.py
+++ b/tests/test_port_allocator.py
@@ -1,4 +1,4 @@
-"""Ports for processes that are started later: claimed, not only looked at."""
+"""Ports for processes that are started later: claimed for one process, not only looked up."""
 
 import os
 import socket
@@ -12,51 +12,59 @@
 from oakfork.errors import DrillProcessError
 from oakfork.lab.port_allocator import BLOCK, PortAllocator, free_addresses, text
 
-RANGE = 9_000, 9_000 + 4 * BLOCK  # of these tests alone: below the range that all others take from
-ASK = """
+RANGE = 9_000, 9_000 + 4 * BLOCK  # of these tests alone: below the default range
+PRINT_PORTS = """
 import socket, sys
-from oakfork.lab.port_allocator import free_places
-print(*(port for _, port in free_places(100, socket.SOCK_DGRAM)), flush=True)
+from oakfork.lab.port_allocator import free_addresses
+print(*(port for _, port in free_addresses(100, socket.SOCK_DGRAM)), flush=True)
 sys.stdin.read()
 """
 
 
-def test_processes_that_look_at_the_same_moment_get_ports_of_their_own(monkeypatch):
-    """Guards against two drills that find the same port free before either has started what is to have it: all four
-    workers of a run of the tests drew from one range, and a gateway met an address in use."""
+def test_processes_that_ask_at_the_same_moment_get_different_ports(monkeypatch):
+    """Two drills can find the same port free before either has started the process that is to use it.
+
+    It happened when all four test workers drew from one range: a gateway's address was in use.
+    """
     monkeypatch.setenv("OAKFORK_RIG_PORTS", "{}-{}".format(*RANGE))
     with ExitStack() as stack:
-        asked = [
+        processes = [
             stack.enter_context(
                 subprocess.Popen(
-                    [sys.executable, "-c", ASK], cwd=ROOT, text=True, stdin=subprocess.PIPE, stdout=subprocess.PIPE
+                    [sys.executable, "-c", PRINT_PORTS],
+                    cwd=ROOT,
+                    text=True,
+                    stdin=subprocess.PIPE,
+                    stdout=subprocess.PIPE,
                 )
             )
             for _ in range(4)
         ]
-        ports = [port for process in asked for port in process.stdout.readline().split()]
+        ports = [port for process in processes for port in process.stdout.readline().split()]
         assert len(ports) == len(set(ports)) == 400
         with pytest.raises(DrillProcessError, match="claimed"):
             PortAllocator(*RANGE)
-    ours = PortAllocator(*RANGE)  # all have ended, and nothing of their claims is left
-    ours.claim.close()
+    allocator = PortAllocator(*RANGE)  # the processes have ended, and so have their claims
+    allocator.claim.close()
 
 
-def test_ports_come_in_turn_and_taken_ones_are_left_out():
-    ours = PortAllocator(RANGE[0] - BLOCK, RANGE[0] - BLOCK + 20)
+def test_ports_are_given_out_in_turn_without_those_in_use():
+    """A port is not given out again before the whole block was, nor while another socket has it."""
+    allocator = PortAllocator(RANGE[0] - BLOCK, RANGE[0] - BLOCK + 20)
     with ExitStack() as stack:
-        stack.callback(ours.claim.close)
-        first = ours.free(5, socket.SOCK_STREAM)
-        assert len(set(first)) == 5 and len(ours.block) == 20
+        stack.callback(allocator.claim.close)
+        first = allocator.free(5, socket.SOCK_STREAM)
+        assert len(set(first)) == 5 and len(allocator.block) == 20
         taken = stack.enter_context(socket.socket())
         taken.bind(("127.0.0.1", first[-1][1] + 1))
-        then = ours.free(5, socket.SOCK_STREAM)
+        then = allocator.free(5, socket.SOCK_STREAM)
         assert len(set(first + then)) == 10 and taken.getsockname() not in then
         with pytest.raises(DrillProcessError, match="free"):
-            ours.free(20, socket.SOCK_STREAM)
+            allocator.free(20, socket.SOCK_STREAM)
 
 
-def test_a_child_made_by_a_fork_has_a_block_of_its_own():
+def test_a_forked_child_has_a_block_of_its_own():
+    """A child that used its parent's block would give out the same ports."""
     before = free_addresses(1, socket.SOCK_STREAM)[0]
     reader, writer = os.pipe()
     child = os.fork()
