--- a/experiments/external_names.py
+++ b/experiments/external_names.py
@@ -1,4 +1,4 @@
-"""Lists the names that leave the process, so that a change of wording can be checked to keep them.
+"""Lists the names that leave the process, so that a renaming can be checked to keep them.
 
     python experiments/external_names.py collect TREE > names.txt     # one "category: name" a line
     python experiments/external_names.py missing names.txt TREE       # prints the names that TREE no longer has
@@ -121,7 +121,7 @@
 
 
 def data_keys(value: object) -> Iterator[str]:
-    """Every key in a nest of dictionaries and lists."""
+    """Every key in nested dictionaries and lists."""
     if isinstance(value, dict):
         for key, inner in value.items():
             yield key
@@ -132,7 +132,7 @@
 
 
 def data_names(root: Path) -> Iterator[tuple[str, str]]:
-    """The keys of the data files that operators and earlier runs wrote."""
+    """The keys of the configuration examples and of stored results."""
     for path in sorted([*(root / "deploy").glob("*"), *(root / "experiments").rglob("*")]):
         if path.suffix == ".json":
             loaded = json.loads(path.read_text())
@@ -162,9 +162,9 @@
     if sys.argv[1:2] == ["collect"]:
         print("\n".join(collect(Path(sys.argv[2]))))
         return 0
-    gone = missing(Path(sys.argv[2]).read_text().splitlines(), Path(sys.argv[3]))
-    print("\n".join(gone) or "no name is missing")
-    return bool(gone)
+    absent = missing(Path(sys.argv[2]).read_text().splitlines(), Path(sys.argv[3]))
+    print("\n".join(absent) or "no name is missing")
+    return bool(absent)
 
 
 if __name__ == "__main__":
--- a/experiments/same_commands.py
+++ b/experiments/same_commands.py
@@ -1,12 +1,12 @@
-"""Prints a digest of every event the decision module is given and every command it answers with, over laboratory runs.
+"""Prints a digest of all events and commands of the decision module over simulated runs.
 
-Two revisions that print the same lines decide alike, to the byte:
+Two revisions that print the same lines make the same decisions:
 
     python experiments/same_commands.py experiments/*.toml
 
-Each file is played with the decision module, at the first four points of its sweep, three seeds each. The digest takes
-values by their position and a fixed number for each kind of event and command, so that renaming a type or a field
-leaves it as it is.
+Each file is run with the decision module, at the first four points of its sweep, with three seeds each. The digest
+covers values by their position and a fixed number for each kind of event and command, so that renaming a type or a
+field does not change it.
 """
 
 import hashlib
@@ -45,7 +45,7 @@
 
 
 class Recorder:
-    """The decision module, with a digest kept of all that goes in and comes out."""
+    """The decision module, with a digest of its events and commands."""
 
     digest = hashlib.sha256()
     events = commands = 0
@@ -55,11 +55,11 @@
 
     @classmethod
     def reset(cls) -> None:
-        """Begins a new digest; all instances of a run share one."""
+        """Starts a new digest; all instances of a run share it."""
         cls.digest, cls.events, cls.commands = hashlib.sha256(), 0, 0
 
     def handle(self, now: int, event: interface.Event) -> Iterable[interface.Command]:
-        """Passes an event on and adds it and its commands to the digest."""
+        """Handles an event, and adds it and its commands to the digest."""
         commands = self.module.handle(now, event)
         Recorder.digest.update(encoded((now, event, commands)))
         Recorder.events += 1
@@ -68,7 +68,7 @@
 
 
 def main() -> None:
-    """Plays the files named on the command line."""
+    """Runs the files named on the command line."""
     for path in sys.argv[1:]:
         worlds = {run.point: run.world for run in read(path).runs}
         for point, world in list(worlds.items())[:POINTS]:
--- a/experiments/sockets_and_model.py
+++ b/experiments/sockets_and_model.py
@@ -1,8 +1,9 @@
 """The same small world on loopback sockets and in the model: three gateways, eight servers of three cores, no fault.
 
-    python experiments/sockets_and_model.py [PLAYS]
+    python experiments/sockets_and_model.py [REPETITIONS]
 
-Prints, for each load and each way, the shares and latencies with their spread over the plays; some minutes at five.
+Prints, for each load, the shares and latencies of both, with their range over the repetitions. Five repetitions, the
+default, take some minutes.
 """
 
 import statistics
@@ -13,12 +14,19 @@
 
 import trio
 
-from oakfork.lab import experiment as files
+from oakfork.lab import experiment
 from oakfork.lab.fake_services import FakeDiscovery, FakeServer, ServerWorkload, SocketTier, entry
 from oakfork.lab.load_generator import LoadGenerator, LoadSettings, Report
 from oakfork.lab.sweep import play
 
-GATEWAYS, SERVERS, CORES, WORK_MS, SECONDS = 3, 8, 3, 60.0, 10.0
+GATEWAYS = 3
+SERVERS = 8
+CORES = 3  # of each server
+WORK_MS = 60.0  # mean work of an RPC
+CUSTOMERS = 200
+DEADLINE_MS = 3000
+SECONDS = 10.0
+LOADS = (0.2, 0.5, 0.75)  # of the servers' capacity
 SETTINGS: dict[str, Any] = {
     "zones": ["z"],
     "zone": 0,
@@ -42,25 +50,37 @@
 }
 
 
-async def _sockets(rate: float, seed: int, folder: Path) -> Report:
+async def _run_on_sockets(rate: float, seed: int, folder: Path) -> Report:
     servers = [FakeServer(ServerWorkload(WORK_MS / 1000, CORES, 30, seed * 100 + number)) for number in range(SERVERS)]
-    listed = [entry(number, server.address) for number, server in enumerate(servers)]
-    discovery = FakeDiscovery(listed)
-    tier = SocketTier(folder, GATEWAYS, discovery.address, listed, SETTINGS)
+    rows = [entry(number, server.address) for number, server in enumerate(servers)]
+    discovery = FakeDiscovery(rows)
+    tier = SocketTier(folder, GATEWAYS, discovery.address, rows, SETTINGS)
     async with trio.open_nursery() as nursery:
-        for party in (*servers, discovery):
-            nursery.start_soon(party.run)
+        for service in (*servers, discovery):
+            nursery.start_soon(service.run)
         with tier.started():
             await tier.ready()
-            load = LoadSettings(tuple(tier.listens), rate, SECONDS, 200, 200, "GET", "read", "basic", 3000, seed)
+            load = LoadSettings(
+                gateways=tuple(tier.listens),
+                rate=rate,
+                seconds=SECONDS,
+                connections=200,
+                customers=CUSTOMERS,
+                method="GET",
+                lane="read",
+                tier="basic",
+                deadline_ms=DEADLINE_MS,
+                seed=seed,
+            )
             report = await LoadGenerator(load).run()
         nursery.cancel_scope.cancel()
     return report
 
 
 def on_sockets(rate: float, seed: int) -> dict[str, float]:
+    """Figures of a run with real gateways, at a rate in RPCs per second."""
     with tempfile.TemporaryDirectory() as folder:
-        report = trio.run(_sockets, rate, seed, Path(folder))
+        report = trio.run(_run_on_sockets, rate, seed, Path(folder))
     return {
         "ok": report.answers.get("200", 0) / report.asked,
         "p50 ms": report.latency_ms["p50"],
@@ -70,7 +90,17 @@
 
 
 def in_model(rate: float, seed: int) -> dict[str, float]:
-    told = {
+    """The same figures of a run of the model."""
+    plan_rate = 2  # units per second
+    plan = {
+        "name": "basic",
+        "customers": CUSTOMERS,
+        "rate": plan_rate,
+        "burst": 5,
+        "gateways": GATEWAYS,
+        "demand": rate / CUSTOMERS / plan_rate,
+    }
+    document = {
         "name": "same",
         "policies": ["oakfork"],
         "seeds": [seed],
@@ -79,40 +109,32 @@
             "gateways": GATEWAYS,
             "load": 0,
             "answer_grace_ms": 16,
-            "methods": [{"name": "read", "work_ms": WORK_MS, "soft_ms": 1000, "deadline_ms": 3000}],
-            "plans": [
-                {
-                    "name": "basic",
-                    "customers": 200,
-                    "rate": 2,
-                    "burst": 5,
-                    "gateways": GATEWAYS,
-                    "demand": rate / 200 / 2,
-                }
-            ],
+            "methods": [{"name": "read", "work_ms": WORK_MS, "soft_ms": 1000, "deadline_ms": DEADLINE_MS}],
+            "plans": [plan],
             "servers": {"count": SERVERS, "cores": CORES},
             "clients": {"retries": 0, "uneven": 0},
             "links": {"client_ms": 0.1, "server_ms": 0.1, "peer_ms": 0.2, "peer_loss": 0, "handshake_ms": 0.1},
         },
     }
-    result = play(files.checked(told).runs[0])
-    return {"ok": result["sums"]["ok"] / result["sums"]["asked"]} | {
-        f"{name} ms": value for name, value in result["latency_ms"].items()
-    }
+    result = play(experiment.checked(document).runs[0])
+    latencies = {f"{name} ms": value for name, value in result["latency_ms"].items()}
+    return {"ok": result["sums"]["ok"] / result["sums"]["asked"]} | latencies
+
+
+def format_range(values: list[float]) -> str:
+    """Mean and range."""
+    return f"{statistics.mean(values):.4g} ({min(values):.4g} to {max(values):.4g})"
 
 
 def main() -> None:
-    plays = int(sys.argv[1]) if len(sys.argv) > 1 else 5
-    capacity = SERVERS * CORES / (WORK_MS / 1000)
-    for part in (0.2, 0.5, 0.75):
-        for name, way in (("sockets", on_sockets), ("model", in_model)):
-            rows = [way(part * capacity, seed) for seed in range(1, plays + 1)]
-            words = [
-                f"{key} {statistics.mean(row[key] for row in rows):.4g} "
-                f"({min(row[key] for row in rows):.4g} to {max(row[key] for row in rows):.4g})"
-                for key in rows[0]
-            ]
-            print(f"{part:.0%} of {capacity:.0f} RPCs a second, {name}: " + ", ".join(words), flush=True)
+    """Runs all loads both ways, and prints a line for each."""
+    repetitions = int(sys.argv[1]) if len(sys.argv) > 1 else 5
+    capacity = SERVERS * CORES / (WORK_MS / 1000)  # RPCs per second
+    for load in LOADS:
+        for name, run in (("sockets", on_sockets), ("model", in_model)):
+            results = [run(load * capacity, seed) for seed in range(1, repetitions + 1)]
+            figures = [f"{key} {format_range([result[key] for result in results])}" for key in results[0]]
+            print(f"{load:.0%} of {capacity:.0f} RPCs a second, {name}: " + ", ".join(figures), flush=True)
 
 
 if __name__ == "__main__":
