--- a/oakfork/interface.py
+++ b/oakfork/interface.py
@@ -1,7 +1,8 @@
-"""What goes into the decision module and what comes out of it: types only, no decision.
+"""The types that go into the decision module (events) and come out of it (commands); no decision is taken here.
 
-Times are whole tenths of a millisecond on the gateway's own clock. RPCs and servers are small indices given
-out at the door; an RPC's index is used again once it is answered and all its call-outs have ended.
+Times are whole tenths of a millisecond on the gateway's own clock. RPCs and servers are named by small indices that
+the host gives out (`oakfork.index_table`). The index of an RPC is used again once the RPC is answered and all its
+call-outs have ended; the index of a server once the module has sent `ForgetServer`.
 """
 
 from dataclasses import dataclass
@@ -20,7 +21,7 @@
 
 
 class Status(IntEnum):
-    """How a call-out ended."""
+    """How a call-out, a probe or a call to the counter service ended; the values are those of the simulator's wire."""
 
     OK = 0
     NEVER_STARTED = 249
@@ -32,10 +33,13 @@
     ERROR = 255
 
 
+# After these the call-out is known not to have run at the server.
 NEVER_RAN = frozenset((Status.NEVER_STARTED, Status.CONNECT_FAILED, Status.FULL))
 
 
 class ServerState(IntEnum):
+    """What the server list says of a server; only one that is ready may get call-outs."""
+
     GONE = 0
     READY = 1
     DRAINING = 2
@@ -43,11 +47,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Method:
+    """A method of the API: its deadlines, whether it may run again, and what an answer is worth."""
+
     soft_deadline: int
     deadline: int
     repeat: RepeatSafety
-    group: str  # "all", "zone" or "cell": the servers that drop a repeat
-    deduplication_time: int  # for how long they drop it
+    group: str  # "all", "zone" or "cell": the servers that recognise a repeated RPC and drop it
+    deduplication_time: int  # how long they recognise it
     utility: float
     late_utility: float
     streamed: bool
@@ -55,12 +61,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
+    """The quotas of a customer's plan, and what RPCs are worth under it."""
+
     rate: float  # units a second; 0: no such quota
-    burst: float
-    concurrency: int  # call-outs out at once; 0: no such quota
+    burst: float  # units
+    concurrency: int  # open call-outs; 0: no such quota
     ceiling_rate: float  # units a second; 0: no ceiling
-    ceiling_burst: float
-    ceiling_slack: float
+    ceiling_burst: float  # units
+    ceiling_slack: float  # units
     price: float
     beyond_utility: float
     beyond_cost: float
@@ -68,7 +76,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GatewaySettings:
-    """All that a gateway is told when it starts."""
+    """All settings that a gateway gets when it starts."""
 
     seed: int
     index: int
@@ -95,14 +103,16 @@
     fall_multiple: float
     fall_time: int
     probe_price: float = 0.0  # of one probe for each RPC, as a part of all utility
-    connection_price: float = 0.0  # of one new connection for each RPC, likewise
-    idle_timeout: int = 0  # connections to servers last for so long unused; 0: not known
+    connection_price: float = 0.0  # of one new connection for each RPC, as a part of all utility
+    idle_timeout: int = 0  # how long an unused connection to a server stays open; 0: not known
 
 
 # Events
 
 
 class ServerEntry(NamedTuple):
+    """One server of a server list."""
+
     server: int
     global_id: int  # the same at every gateway
     zone: int
@@ -113,49 +123,63 @@
 
 
 class ServerList(NamedTuple):
+    """A complete server list, a change of it, or the failure of a call for it."""
+
     complete: bool
     failed: bool
     entries: tuple[ServerEntry, ...]
 
 
 class RpcArrived(NamedTuple):
+    """A client has sent an RPC."""
+
     rpc: int
-    customer: int  # the true id
+    customer: int  # the id that all gateways know the customer by, not a local index
     method: int
     plan: int
     units: float
-    first_gateway: int
+    first_gateway: int  # the customer's gateways are `spread` successive ones from here
     spread: int
-    time_left: int
+    time_left: int  # until the client's deadline
     repeated: bool
     reserved: bool = False  # inside capacity that a contract reserves
 
 
 class StreamStarted(NamedTuple):
+    """A streamed answer has begun: its RPC stays with this call-out."""
+
     rpc: int
     call_out: int
 
 
 class CallOutEnded(NamedTuple):
+    """A call-out has ended."""
+
     rpc: int
     call_out: int
     server: int
     elapsed: int
     status: Status
-    final: bool
-    true_units: float
+    final: bool  # the RPC has its final answer with this
+    true_units: float  # what the RPC turned out to cost; 0: not reported
     load: tuple[float, ...]
 
 
 class ClientDisconnected(NamedTuple):
+    """The client of an RPC has gone, or its deadline has passed."""
+
     rpc: int
 
 
 class TimerFired(NamedTuple):
+    """A timer that `SetTimer` set has run out."""
+
     token: int
 
 
 class ProbeEnded(NamedTuple):
+    """A probe of a server has ended."""
+
     server: int
     status: Status
     elapsed: int
@@ -163,11 +187,15 @@
 
 
 class PeerFrame(NamedTuple):
+    """A frame from another gateway has come in; `oakfork.peer_codec` reads it."""
+
     sender: int
     data: bytes
 
 
 class CounterReplied(NamedTuple):
+    """The counter service has replied to `AddToCounter`, or the call has failed."""
+
     status: Status
     total: float
     name: int
@@ -190,53 +218,69 @@
 
 
 class SendCallOut(NamedTuple):
+    """Sends an RPC to a server. The call-outs of an RPC are numbered from 0 in the order in which they are sent."""
+
     rpc: int
     server: int
     until: int  # on the clock; 0: until the client gives up
-    write_deadline: int = 0  # on the clock: if its last byte is not written then, it is never sent; 0: any time
+    write_deadline: int = 0  # on the clock: never sent if its last byte is not written by then; 0: no such bound
 
 
 class PushBack(NamedTuple):
+    """Answers an RPC with a pushback: a further try is harmless."""
+
     rpc: int
     retry_after: int
 
 
 class Abort(NamedTuple):
+    """Answers an RPC with an abort, which promises nothing about a further try."""
+
     rpc: int
 
 
 class CancelCallOut(NamedTuple):
+    """Cancels a call-out, whether it has begun or not."""
+
     rpc: int
     call_out: int
 
 
 class CancelIfUnsent(NamedTuple):
-    """Has a call-out never begin if its first byte is not written yet; it ends as moot. One that has begun goes on."""
+    """Cancels a call-out whose first byte is not written yet; it ends as NEVER_STARTED. One that has begun goes on."""
 
     rpc: int
     call_out: int
 
 
 class SetTimer(NamedTuple):
+    """Asks for `TimerFired` with this token after a time above 0."""
+
     token: int
     after: int
 
 
 class ProbeServer(NamedTuple):
+    """Sends a probe to a server."""
+
     server: int
 
 
 class SendPeerFrame(NamedTuple):
+    """Sends a frame to another gateway."""
+
     peer: int
     data: bytes
 
 
 class SubscribeToList(NamedTuple):
+    """Subscribes to changes of the server list, or ends the subscription."""
+
     on: bool = True
 
 
 class ReadServerList(NamedTuple):
-    pass
+    """Asks discovery for the complete server list once."""
 
 
 class CloseIdleConnections(NamedTuple):
@@ -246,7 +290,7 @@
 
 
 class ForgetServer(NamedTuple):
-    """The server is gone and nothing is known of it any more: its index may be used for another."""
+    """The server is gone and the module has no state of it any more: its index may be used for another server."""
 
     server: int
 
@@ -256,10 +300,12 @@
 
     name: int
     amount: float
-    ttl: int  # if the name is new
+    ttl: int  # of the number, if its name is new
 
 
 class WriteLog(NamedTuple):
+    """Writes a line to the log."""
+
     text: str
 
 
--- a/tests/test_same_commands.py
+++ b/tests/test_same_commands.py
@@ -1,5 +1,6 @@
 """Checks that the digest of decisions follows values and kinds, and not the names of types."""
 
+import importlib
 import sys
 from typing import NamedTuple
 
@@ -9,7 +10,7 @@
 from oakfork import interface
 
 sys.path.insert(0, str(ROOT / "experiments"))
-import same_commands  # noqa: E402
+same_commands = importlib.import_module("same_commands")
 
 PUSH_BACK = interface.PushBack(rpc=7, retry_after=10_000)
 
