--- a/oakfork/simulator_adapter/__main__.py
+++ b/oakfork/simulator_adapter/__main__.py
@@ -1,3 +1,5 @@
+"""Serves the simulator's protocol on standard input and output; on a protocol error ends with one line."""
+
 import sys
 
 from oakfork.errors import SimulatorProtocolError
@@ -7,4 +9,4 @@
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except SimulatorProtocolError as error:
-        sys.exit(f"wirehost: {error}; {error.todo}")
+        sys.exit(f"simulator adapter: {error}; {error.todo}")
