--- a/tests/test_callouts.py
+++ b/tests/test_callouts.py
@@ -139,7 +139,7 @@
 
     async def test(network):
         servers = network.decision_loop.module.servers
-        pause = servers.pause(servers.all[0]) / 10_000
+        pause = servers.cold_pause(servers.all[0]) / 10_000
         assert pause > 0.1
         await trio.sleep(pause)
         network.ask(1)
@@ -185,7 +185,7 @@
         _, established, theirs = network.connections[0]
         established.set()
         await network.settle()
-        server = next(iter(network.decision_loop.module.rpcs.values())).out[0]
+        server = next(iter(network.decision_loop.module.rpcs.values())).open_call_outs[0]
         network.servers.close_idle(server)
         theirs.sendall(ANSWER)
         await network.settle()
--- a/tests/test_drills.py
+++ b/tests/test_drills.py
@@ -143,10 +143,10 @@
 def test_an_rpc_inside_reserved_capacity_is_not_shed_and_still_counts_in_the_quota():
     """Reservation lifts the shedding of load, and nothing else that the decision module does."""
     plain, reserved = gateway(servers=9), gateway(servers=9)
-    plain.let_in = reserved.let_in = 0.0
+    plain.admitted_share = reserved.admitted_share = 0.0
     assert kinds(plain.handle(0, arrival(1, 1))) == [interface.PushBack]
     assert kinds(reserved.handle(0, arrival(1, 1)._replace(reserved=True))) == [interface.SendCallOut]
-    assert plain.context.chance != reserved.context.chance  # only the latter drew a server
+    assert plain.context.random_state != reserved.context.random_state  # only the latter drew a server
     quota = gateway()
     sent = [
         interface.SendCallOut in kinds(quota.handle(100, arrival(rpc)._replace(reserved=True))) for rpc in range(12)
--- a/tests/test_outages.py
+++ b/tests/test_outages.py
@@ -30,7 +30,7 @@
     tier.run(2)
     tier.truth[0] = ServerState.GONE, 0
     for index in range(30):
-        at = tier.now + tier.dice.randint(0, SECOND // 2)
+        at = tier.now + tier.rng.randint(0, SECOND // 2)
         event = interface.ServerList(False, False, (list_entry(0, ServerState.GONE),))
         tier.events.append((at, index, event))
     tier.run(1)
@@ -125,7 +125,7 @@
         async with trio.open_nursery() as nursery:
             nursery.start_soon(ask)
             await trio.sleep(begin + seconds)
-            admitted_shares.append(simulation.decision_loop.module.let_in)
+            admitted_shares.append(simulation.decision_loop.module.admitted_share)
             await trio.sleep(8)
             nursery.cancel_scope.cancel()
         starved.append(serves_nobody(simulation))
