--- a/oakfork/decision/quotas.py
+++ b/oakfork/decision/quotas.py
@@ -18,6 +18,7 @@
 ANSWER_LIFETIME = 4 * SECOND  # far longer than an answer is of use
 SILENT_AFTER = 2  # asks in a row without a reply
 SILENT_ASK_INTERVAL = SECOND // 4
+ASK_WAIT_PARTS = 10  # an ask waits for this part of the soft deadline
 REPEATED_ASKS = 3
 
 
@@ -238,7 +239,9 @@
         soft_deadline = rpc.method_state.method.soft_deadline
         has_ceiling = self.settings.plans[request.plan].ceiling_rate
         tries = REPEATED_ASKS if has_ceiling or (request.customer, request.plan) in self.slices else 1
-        patience = max(soft_deadline // 10, min(int(2 * self.usual_reply_time), soft_deadline // (3 * tries)))
+        shortest = soft_deadline // ASK_WAIT_PARTS
+        longest = soft_deadline // (3 * tries)  # for all tries together a third
+        patience = max(shortest, min(int(2 * self.usual_reply_time), longest))
         for _ in range(tries):
             self.links.enqueue(owner, wire.Ask(serial, request.customer, request.plan, request.units))
             answer = yield min(rpc.deadline, self.context.now + patience)
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -14,7 +14,9 @@
 from lab_worlds import ROOT
 
 from oakfork.cli import main
+from oakfork.decision import quotas, servers
 from oakfork.errors import MeasurementError
+from oakfork.interface import SECOND
 from oakfork.lab.scale import (
     budget as budgets,
     capacity_control,
@@ -198,11 +200,16 @@
 
 def test_what_figures_take_from_the_program_stands_there():
     today = Today()
-    quotas, servers = ((ROOT / f"oakfork/decision/{name}.py").read_text() for name in ("quotas", "servers"))
-    assert f"SECOND // {1 / today.retry_s:g}, serial" in quotas and f"soft // {1 / today.wait_part:g}," in quotas
-    assert f"tries = {today.tries:g} if plan.ceiling_rate" in quotas
-    assert f"(peer.missed < {today.silent_after:g} or now >= peer.next_try)" in quotas
-    assert f"first:first + {today.row:g}]" in servers and f"{today.row:g} * total / max({today.row:g}, size)" in servers
+    assert quotas.SILENT_ASK_INTERVAL / SECOND == today.retry_s and quotas.ASK_WAIT_PARTS == 1 / today.wait_part
+    assert (quotas.REPEATED_ASKS, quotas.SILENT_AFTER) == (today.tries, today.silent_after)
+    assert servers.SUBSET_SIZE == today.row
+    quotas_text, servers_text = ((ROOT / f"oakfork/decision/{name}.py").read_text() for name in ("quotas", "servers"))
+    assert "peer.next_ask_at = now + SILENT_ASK_INTERVAL\n" in quotas_text
+    assert "shortest = soft_deadline // ASK_WAIT_PARTS\n" in quotas_text and "max(shortest, " in quotas_text
+    assert "tries = REPEATED_ASKS if has_ceiling or " in quotas_text
+    assert "peer.unanswered_asks < SILENT_AFTER or self.context.now >= peer.next_ask_at" in quotas_text
+    assert "end = first + SUBSET_SIZE\n" in servers_text
+    assert "SUBSET_SIZE * gateways / max(SUBSET_SIZE, len(self.ready))" in servers_text
     assert (discovery.HOLD, discovery.TOLD, http_connection.LARGEST_BODY) == (today.watch_s, today.told_s, today.body)
 
 
