--- a/oakfork/contracts/messages.py
+++ b/oakfork/contracts/messages.py
@@ -21,7 +21,7 @@
 
 
 class AllocationUpdate(Message, tag=20):
-    """An act of the "allot" lease's holder upon a gateway: how much it may lend, and from whom to borrow how much."""
+    """An order of the "allot" lease's holder to a gateway: how much it may lend, and how much to borrow from whom."""
 
     gateway: UInt16
     life: UInt63  # of the gateway acted upon
--- a/oakfork/control/change_schema.py
+++ b/oakfork/control/change_schema.py
@@ -68,15 +68,15 @@
 
 
 METHOD = _table(
-    "a method",
+    "a method of the service",
     {
-        "name": _word("as X-Lane names it"),
-        "aim_ms": _number("soft deadline"),
-        "deadline_ms": _number("deadline"),
+        "name": _word("method name, as sent in the X-Lane header"),
+        "aim_ms": _number("soft deadline in milliseconds, at most `deadline_ms`"),
+        "deadline_ms": _number("deadline in milliseconds"),
         "effect": {
             "enum": [effect.name.lower() for effect in records.Effect],
             "default": "read_like",
-            "description": "idempotent, deduplicated, non-idempotent (both of the last)",
+            "description": "repeat safety: idempotent, deduplicated, non-idempotent (the last two values)",
         },
     },
     "name",
@@ -85,25 +85,33 @@
 )
 SERVICE = _table(
     "a service",
-    {"name": _name("its name"), "methods": _typed("array", "its methods", items=METHOD, minItems=1, maxItems=64)},
+    {
+        "name": _name("service name"),
+        "methods": _typed("array", "methods of the service", items=METHOD, minItems=1, maxItems=64),
+    },
     "name",
     "methods",
 )
 SERVER = _table(
     "a server",
     {
-        "id": _name("the same at every gateway"),
-        "addr": _typed("string", "where it listens", maxLength=256, pattern=r"^[!-9;-~]+:[0-9]{1,5}(?!\n)$"),
-        "zone": _word("its zone"),
-        "kind": _word("its kind of machine", 0),
-        "cell": _integer("the group that drops a repeat"),
+        "id": _name("server id, the same at every gateway"),
+        "addr": _typed(
+            "string",
+            "HOST:PORT on which the server accepts connections",
+            maxLength=256,
+            pattern=r"^[!-9;-~]+:[0-9]{1,5}(?!\n)$",
+        ),
+        "zone": _word("zone of the server"),
+        "kind": _word("machine type, may be empty", 0),
+        "cell": _integer("number of the group of servers that deduplicates repeats"),
         "state": {
             "enum": [state.name.lower() for state in records.State],
-            "description": "draining: nothing new goes to it",
+            "description": "draining: the server gets no new call-outs",
         },
-        "weight": _number("its registered size"),
-        "started_ms": _integer("when it last started, as Unix time in milliseconds; 0: long ago"),
-        "service": _name("what it serves"),
+        "weight": _number("registered size of the server"),
+        "started_ms": _integer("time of the last start, as Unix time in milliseconds; 0: long ago"),
+        "service": _name("name of the service that the server runs"),
     },
     "id",
     "addr",
@@ -118,11 +126,11 @@
 ROUTE = _table(
     "a route",
     {
-        "name": _name("its name"),
-        "host": _word("of the RPC"),
-        "prefix": _word("how its path begins", 0),
-        "method": _word("its method; empty: any", 0),
-        "service": _name("where it goes"),
+        "name": _name("route name"),
+        "host": _word("host of matching RPCs"),
+        "prefix": _word("path prefix of matching RPCs; empty: any path", 0),
+        "method": _word("method of matching RPCs; empty: any method", 0),
+        "service": _name("name of the service that receives matching RPCs"),
     },
     "name",
     "host",
@@ -133,12 +141,14 @@
 TENANT = _table(
     "a tenant",
     {
-        "id": _name("the tenant's"),
-        "plan": _word("its plan"),
-        "rate": _number("units a second of its quota"),
-        "burst": _number("units at once"),
-        "first": _integer("the first gateway that keeps its quota", high=65_535),
-        "spread": _integer("how many gateways keep it", low=1, high=65_535),
+        "id": _name("tenant id"),
+        "plan": _word("name of the tenant's plan"),
+        "rate": _number("quota in units per second"),
+        "burst": _number("burst of the quota in units"),
+        "first": _integer("index of the first gateway that owns the quota", high=65_535),
+        "spread": _integer(
+            "number of consecutive gateways that own the quota, counted from `first`", low=1, high=65_535
+        ),
     },
     "id",
     "plan",
@@ -154,7 +164,7 @@
     return _table(
         text,
         {
-            PLURALS[kind]: _typed("array", f"the {PLURALS[kind]}", items=items[kind], maxItems=MAX_CHANGES)
+            PLURALS[kind]: _typed("array", f"list of {PLURALS[kind]}", items=items[kind], maxItems=MAX_CHANGES)
             for kind in Kind
         },
     )
@@ -165,11 +175,13 @@
     {
         "id": _typed(
             "string",
-            "names this change set, in the log as well; the same file again has no second effect",
+            "unique id of the change set, also used in the log; submitting the same file again has no further effect",
             pattern="^[!-~]{1,100}(?!\\n)$",
         ),
-        "put": _by_kind("records that are new, or take the place of those of the same name", ITEMS),
-        "drop": _by_kind("names of records that go", {kind: _name("of one that is there") for kind in Kind}),
+        "put": _by_kind("records to add, or to replace where the name or id exists already", ITEMS),
+        "drop": _by_kind(
+            "names or ids of the records to remove", {kind: _name("name or id of an existing record") for kind in Kind}
+        ),
     },
     "id",
 )
--- a/oakfork/control/cli.py
+++ b/oakfork/control/cli.py
@@ -107,8 +107,8 @@
 
 @control.command("follow")
 @click.argument("relays", nargs=-1, required=True, callback=_check_address)
-@click.option("--name", required=True, help="The name in the status; no other follower has it.")
-@click.option("--seed", type=int, default=1, show_default=True, help="Seed of the random part of its pauses.")
+@click.option("--name", required=True, help="The name in the status, unique among followers.")
+@click.option("--seed", type=int, default=1, show_default=True, help="Seed of the random part of the retry delays.")
 def follow(relays: tuple[str, ...], name: str, seed: int) -> None:
     """Follow relays, HOST:PORT each, as a gateway does; print a line of JSON for what comes into force."""
     from oakfork.control import processes
--- a/oakfork/control/config.py
+++ b/oakfork/control/config.py
@@ -34,17 +34,22 @@
 
 def _schema(text: str, properties: dict[str, Any], bounds: dict[str, Any], *required: str) -> dict[str, Any]:
     common = {
-        "name": NAME | {"description": "its name in status and log; no other has it"},
-        "region": NAME | {"description": "where it runs"},
-        "listen": ADDRESS | {"description": "where those connect that follow it, and operators"},
+        "name": NAME | {"description": "name in the status and the log, unique among publishers and relays"},
+        "region": NAME | {"description": "region of the process, shown before its name in the status and the log"},
+        "listen": ADDRESS | {"description": "HOST:PORT on which to accept connections from followers and operators"},
     }
     limits = _table(
-        "what it may use",
+        "resource limits",
         {
             "egress_bytes_per_s": _integer(
-                1024, 1 << 30, "sent to all below it where state is made up for; the rest waits", EGRESS
+                1024,
+                1 << 30,
+                "bytes per second for state transfers to all followers together; transfers over the limit wait",
+                EGRESS,
+            ),
+            "connections": _integer(
+                8, 65_536, "maximum number of open connections; further ones are closed immediately", MAX_LINKS
             ),
-            "connections": _integer(8, 65_536, "at once; one more is closed at once", MAX_LINKS),
         }
         | bounds,
     )
@@ -60,22 +65,29 @@
             "type": "string",
             "minLength": 1,
             "maxLength": 4096,
-            "description": "its file, on a disk of its own; from the working directory",
+            "description": "path of the database file, relative to the working directory; use a dedicated disk",
         },
         "others": {
             "type": "array",
             "items": ADDRESS,
             "maxItems": 8,
             "uniqueItems": True,
-            "description": "where other publishers may be: the one of the older term steps back",
+            "description": "addresses of other possible publishers; one that finds a higher term refuses change sets",
         },
         "above_term": _integer(
-            0, 1 << 40, "it begins above this term; after an older copy of the database was brought back", 0
+            0,
+            1 << 40,
+            "the publisher starts with a term above this one; set it after restoring an older copy of the database",
+            0,
         ),
     },
     {
-        "log_sets": _integer(1, 65_536, "change sets kept one by one; older ones are folded", MAX_LOG_SETS),
-        "ids": _integer(64, 1 << 24, "of change sets, by which one that is sent again is known", MAX_IDS),
+        "log_sets": _integer(
+            1, 65_536, "change sets kept individually in the log; older ones are compacted", MAX_LOG_SETS
+        ),
+        "ids": _integer(
+            64, 1 << 24, "change set ids kept to recognize resubmitted change sets; the oldest are dropped", MAX_IDS
+        ),
     },
     "database",
 )
@@ -88,7 +100,7 @@
             "minItems": 1,
             "maxItems": 16,
             "uniqueItems": True,
-            "description": "the publisher or other relays, in the order in which they are turned to",
+            "description": "addresses of the publisher or of other relays, in order of preference",
         },
     },
     {},
--- a/oakfork/control/follower.py
+++ b/oakfork/control/follower.py
@@ -84,7 +84,7 @@
         self.progress_at = 0
         self.position_changed_at = 0
         self.freshness = Freshness(position)
-        self.path: tuple[str, ...] = ()  # of the last heartbeat: the upstream, whom that follows, and so on
+        self.path: tuple[str, ...] = ()  # of the last heartbeat: the upstream, its own upstream, and so on
         self.digest_failures = 0
         self.distrusts_digest = False
         self._discard_transfer()
@@ -276,7 +276,7 @@
         if trying_preferred and heartbeat.age > 2 * HEARTBEAT_INTERVAL:
             self._switch_relay("home is behind")  # at once, to lose no time there
         elif self.name in heartbeat.path:
-            # Relays that follow one another in a cycle receive nothing new, and the age that they tell one another
+            # Relays that follow one another in a cycle receive nothing new, and the age that they report to one another
             # would reveal it only after STALE_AGE.
             self._switch_relay("circle")
         else:
--- a/oakfork/control/follower_registry.py
+++ b/oakfork/control/follower_registry.py
@@ -38,7 +38,7 @@
     def __init__(self) -> None:
         self.links: dict[int, _Downstream] = {}
         self.names: dict[str, list[int]] = {}  # connected follower -> links that reach it, the latest last
-        self.gone: dict[str, tuple[int, str]] = {}  # since when, and whom it followed; in the order of leaving
+        self.gone: dict[str, tuple[int, str]] = {}  # since when, and its last upstream; in the order of leaving
         self.unreported: dict[str, bool] = {}  # names connected (True) or disconnected since the last report
         self.position_times: list[tuple[Position, int]] = []  # when each position came into force here, oldest first
         self.left_out = 0  # times that a name was not tracked because of MAX_NAMES
--- a/oakfork/control/follower_server.py
+++ b/oakfork/control/follower_server.py
@@ -60,7 +60,7 @@
     """Serves the state in `store`, at `position`; `in_force` must be called after each commit to the store.
 
     `age` returns the milliseconds since the publisher was last heard of, None if never. `upstream_path` names the
-    process that this one follows, the one that that follows, and so on. The driver reports incoming links only.
+    process that this one follows, the upstream of that process, and so on. The driver reports incoming links only.
     """
 
     def __init__(
@@ -84,7 +84,7 @@
         self.heartbeat_at: int | None = None  # the next one; None while there are no links
         self.last_heartbeat_at = 0
         self.last_path: tuple[str, ...] = ()  # in the last heartbeat to all
-        self.higher_term = 0  # the highest term above its own that was heard of
+        self.higher_term = 0  # the highest term above its own that is known
         self.outdated = False  # a publisher of a higher term is known: serves no followers any more
         self.shutting_down = False  # accepts no more links
         self.step_scheduled = False
@@ -127,7 +127,7 @@
         return self._finished()
 
     def outdate(self, now: int) -> list[Command]:
-        """A publisher of a higher term is known: present and future followers are told to go elsewhere."""
+        """Called when a publisher of a higher term is known: disconnects all followers and rejects new ones."""
         self._begin(now)
         self.outdated = True
         for link, session in list(self.sessions.items()):
--- a/oakfork/control/freshness.py
+++ b/oakfork/control/freshness.py
@@ -18,12 +18,12 @@
         return None if self.fresh_at is None else max(0, now - self.fresh_at)
 
     def welcomed(self, position: Position) -> None:
-        """A new upstream has told its position."""
+        """Records the position of a new upstream."""
         self.upstream_position = position
         self.upstream_heard_at = None
 
     def heartbeat(self, now: int, heartbeat: Heartbeat) -> None:
-        """The upstream has told its position and when it heard of the publisher."""
+        """Records the position of the upstream and the time of its last contact with the publisher."""
         self.upstream_position = heartbeat.position
         self.upstream_heard_at = None if heartbeat.age == AGE_UNKNOWN else now - heartbeat.age
 
--- a/oakfork/control/other_publishers.py
+++ b/oakfork/control/other_publishers.py
@@ -1,7 +1,7 @@
 """Asks other publishers for their terms. No I/O.
 
-Each is asked for its status again and again. After a partition with a publisher on each side, the one of the older term
-thus soon learns of the other, even if no process follows both.
+Each is polled for its status. After a partition with a publisher on each side, the one of the older term thus soon
+learns of the other, even if no process follows both.
 """
 
 from typing import Sequence
@@ -20,7 +20,7 @@
 from oakfork.control.messages import Status, StatusRequest, pack
 from oakfork.control.status import term_of
 
-POLL_INTERVAL = 10_000  # milliseconds; a publisher that hasn't answered by the next poll is asked anew
+POLL_INTERVAL = 10_000  # milliseconds; a publisher that hasn't answered by the next poll is asked again
 
 
 class OtherPublishers:
--- a/oakfork/control/publisher.py
+++ b/oakfork/control/publisher.py
@@ -278,7 +278,7 @@
         if not self._is_storing(number):
             return
         if self.follower_server.outdated:
-            # A later publisher was heard of in the meantime. A change set answered as refused must not be in force
+            # A later publisher became known in the meantime. A change set answered as refused must not be in force
             # after a restart, so it is reverted before the answer.
             commands.append(RevertChangeSet(self.storing.position))
             return
--- a/oakfork/control/relay_selection.py
+++ b/oakfork/control/relay_selection.py
@@ -7,7 +7,7 @@
 from typing import Sequence
 
 # Durations in milliseconds
-STALE_AGE = 10_000  # the upstream hasn't heard of the publisher for this long: another relay is tried
+STALE_AGE = 10_000  # without contact between upstream and publisher, until another relay is tried
 MAX_STALE_WAIT = 60_000  # between such tries; the wait doubles from STALE_AGE up to this
 MIN_PAUSE = 250  # after all relays were tried in vain; doubles up to MAX_PAUSE
 MAX_PAUSE = 4_000
--- a/oakfork/control/transfer.py
+++ b/oakfork/control/transfer.py
@@ -48,7 +48,7 @@
         return message.range in self.wanted_ranges and self.staged.range_number in (None, message.range)
 
     def range_received(self, message: Range) -> None:
-        """A frame of a range is staged; with the last one the range is no longer wanted."""
+        """Called after a frame of a range was staged; after its last frame the range is no longer wanted."""
         if not message.more:
             self.wanted_ranges.discard(message.range)
 
--- a/oakfork/lab/cli.py
+++ b/oakfork/lab/cli.py
@@ -52,8 +52,8 @@
 
 @lab.command("run")
 @click.argument("file", type=click.Path(dir_okay=False))
-@click.option("--policy", help="One of the file; its first one otherwise.")
-@click.option("--seed", type=int, help="One of the file; its first one otherwise.")
+@click.option("--policy", help="A policy of the file; the first one by default.")
+@click.option("--seed", type=int, help="A seed of the file; the first one by default.")
 @click.option("--json", "as_json", is_flag=True, help="The whole result as JSON.")
 def lab_run(file: str, policy: str | None, seed: int | None, as_json: bool) -> int:
     """Run one policy of an experiment with one seed, at the first point of its sweep."""
@@ -155,7 +155,9 @@
     "--seed", "seeds", type=int, multiple=True, default=(1,), show_default=True, help="One drill for each seed."
 )
 @click.option("--gateways", type=click.IntRange(3, 64), default=3, show_default=True)
-@click.option("--length-ms", type=click.IntRange(100, 60_000), default=400, show_default=True, help="Of a lease.")
+@click.option(
+    "--length-ms", type=click.IntRange(100, 60_000), default=400, show_default=True, help="Duration of a lease."
+)
 @click.option("--seconds", type=click.FloatRange(1, 3600), default=5.0, show_default=True)
 @click.option("--keep", type=click.Path(file_okay=False), help="A folder for the record of each drill.")
 def lab_drill_leases(seeds: tuple[int, ...], keep: str | None, **options: Any) -> int:
@@ -209,7 +211,7 @@
 @click.argument("gateways", nargs=-1, required=True)
 @click.option("--rate", type=click.FloatRange(0.1, 20_000), default=50.0, show_default=True, help="RPCs a second.")
 @click.option("--seconds", type=click.FloatRange(0.1, 600), default=10.0, show_default=True)
-@click.option("--connections", type=click.IntRange(1, 1000), default=64, show_default=True, help="At most, in all.")
+@click.option("--connections", type=click.IntRange(1, 1000), default=64, show_default=True, help="Maximum in all.")
 @click.option("--customers", type=click.IntRange(1, 1_000_000), default=200, show_default=True)
 @click.option("--method", "method", default="GET", show_default=True)
 @click.option("--lane", default="read", show_default=True, help="The method's name, as X-Lane.")
--- a/oakfork/lab/fault_schedule.py
+++ b/oakfork/lab/fault_schedule.py
@@ -8,8 +8,8 @@
 
 KINDS = ("kill", "stop", "leave", "cut", "cut one way", "lose", "delay", "double", "witness restarts")
 KIND_WEIGHTS = (4, 4, 2, 3, 3, 2, 2, 2, 1)
-HOLDER = -1  # gateway number that stands for the current lease holder
-ALL_OTHERS = -1  # other side that stands for all other gateways
+HOLDER = -1  # placeholder gateway number: the current lease holder
+ALL_OTHERS = -1  # placeholder for the other side of a cut: all other gateways
 FIRST_FAULT = 0.2  # seconds from the start of the drill
 
 
--- a/oakfork/lab/world.py
+++ b/oakfork/lab/world.py
@@ -33,7 +33,7 @@
         self.config = config
         self.policy_factory = policy_factory
         self.loop = loop or EventLoop()
-        self.loop.now = SECOND  # 0 stands for long ago
+        self.loop.now = SECOND  # 0 means long ago
         self.checker = InvariantChecker(config)
         self.metrics = RunMetrics(config.seconds + 1, SECOND)
         sequences = numpy.random.SeedSequence(seed).spawn(len(STREAMS))
--- a/oakfork/leases/holder.py
+++ b/oakfork/leases/holder.py
@@ -22,7 +22,7 @@
     gateway: int
     life: int  # a random number drawn when the gateway starts
     voters: tuple[int, ...]  # gateways' numbers
-    highest_term: int = 0  # heard of
+    highest_term: int = 0  # that is known
     term: int = 0  # asked for or held
     round: int = 0  # of asking; grows
     round_open: bool = False  # a round has been sent to the voters
@@ -72,7 +72,7 @@
 def _start_round(
     contender: Contender, now: int, durations: LeaseDurations, task: int
 ) -> tuple[Contender, OutgoingMessages]:
-    """Asks all voters: for longer in the term that is held, or else in a new one."""
+    """Asks all voters to extend the lease in the current term, or for their votes in a new one."""
     term = contender.term
     if not contender.lease_end:
         term = max(contender.highest_term, contender.term) + 1
--- a/oakfork/leases/messages.py
+++ b/oakfork/leases/messages.py
@@ -1,7 +1,7 @@
 """Messages between voters, contenders and the resources that holders act upon; `fleet.codec` packs them.
 
 Messages are packed as arrays: the order, types and tags of their fields are the wire format. Every message names its
-task by the task's index, and a contender by its gateway and its life: a number drawn anew at each start, so that an
+task by the task's index, and a contender by its gateway and its life: a random number drawn at each start, so that an
 answer to an earlier life is ignored.
 """
 
@@ -19,7 +19,7 @@
 
 
 class Ask(Message, tag=1):
-    """A contender asks a voter for its vote in a term, or to have it for longer."""
+    """A contender asks a voter for its vote in a term, or to extend that vote."""
 
     task: UInt16
     gateway: UInt16  # the contender
