--- a/oakfork/lab/scale/control_faults.py
+++ b/oakfork/lab/scale/control_faults.py
@@ -1,20 +1,25 @@
-"""Group "faults": the control part at its full size through faults that a seed draws, judged by the witness apart: a
-relay killed, one stopped for 20 s, the publisher killed twice, connections ended in a frame, a region cut and healed.
+"""Group "faults": the control plane at its full size through faults that a seed draws, checked by the fleet verifier.
+
+A relay is killed, one is stopped for 20 s, the publisher is killed twice, connections end within a frame, and a region
+is cut off and reconnected.
 """
 
 import sys
 from typing import Any, Callable
 
-from oakfork.lab.scale.control_costs import SMALL, Player, Sizes
+from oakfork.lab.scale.fleet_measurement import SMALL, FleetMeasurement, Sizes
 from oakfork.lab.scale.slopes import Measure
 
 GROUP = "faults"
 
 
-def measure(told: Callable[[str], None], small: bool = False) -> tuple[list[Measure], dict[str, Any]]:
-    """No measures; what was played and seen. Raises DrillProcessError where the witness finds a fault."""
+def measure(report: Callable[[str], None], small: bool = False) -> tuple[list[Measure], dict[str, Any]]:
+    """Runs the faults; returns no measures, and what was injected and seen.
+
+    Raises DrillProcessError where the verifier finds a violation.
+    """
     sizes = SMALL if small else Sizes()
     gateways = sizes.gateways[-1]
-    played = Player(sizes, gateways, told).faults()
-    told(f"{gateways} gateways, faults of seed {sizes.seed}: {played['change_sets']} change sets, {played['judged']}")
-    return [], {"python": sys.version.split()[0], "gateways": gateways} | played
+    result = FleetMeasurement(sizes, gateways, report).run_faults()
+    report(f"{gateways} gateways, faults of seed {sizes.seed}: {result['change_sets']} change sets, {result['judged']}")
+    return [], {"python": sys.version.split()[0], "gateways": gateways} | result
--- a/oakfork/lab/scale/fleet_run.py
+++ b/oakfork/lab/scale/fleet_run.py
@@ -1,10 +1,10 @@
-"""A publisher, relays and processes of hollow gateways on loopback: started, loaded with change sets, struck by faults
-that a seed draws, watched and ended. fleet_verifier.py judges. Every wait is bounded, nothing is left running.
+"""Runs a publisher, relays and processes of hollow gateways on loopback, and collects what the gateways report.
+
+fleet_faults.py injects faults into a running fleet and fleet_verifier.py checks the reports. Every wait has a timeout,
+and no process is left running.
 """
 
 import json
-import random
-import signal
 import socket
 import subprocess
 import sys
@@ -23,159 +23,170 @@
 from oakfork.errors import DrillProcessError, PublisherTimeoutError
 from oakfork.lab.port_allocator import free_addresses, text
 from oakfork.lab.scale import fleet_verifier, generated_state
-from oakfork.lab.scale.faulty_connections import Way
-from oakfork.lab.scale.fleet_verifier import Acked, End, Reached
+from oakfork.lab.scale.faulty_connections import ConnectionProxy
+from oakfork.lab.scale.fleet_verifier import AcknowledgedChange, FinalState, InForceReport
 from oakfork.lab.scale.hollow_gateways import now_ms
 from oakfork.lab.scale.process_costs import memory, processor_seconds
 
-START, END = 90.0, 15.0  # seconds until all have begun, until all have ended
-PATIENCE = 60.0  # for a verdict, also with the publisher killed and started again
-LOST = 4.0  # for a change set to be in force somewhere whose answer is swallowed
+START_TIMEOUT_S = 90.0  # until all processes have begun
+END_TIMEOUT_S = 15.0  # until all processes have ended
+VERDICT_TIMEOUT_S = 60.0  # for an answer to a change set, also where the publisher is killed and started again
+KILL_TIMEOUT_S = 5.0
+LOG_TAIL = 400  # characters of a process's log that an error quotes
+LATE_QUOTED = 5  # names of late followers that an error quotes
 PUBLISHER = "publisher"
-KINDS = ("kill relay", "stop relay", "kill publisher", "lose answer", "end in a frame", "cut region")
+UPSTREAM_PUBLISHER = -1  # stands for the publisher where relays are numbered
 
 
 class Shape(NamedTuple):
-    """Of a fleet. The publisher's egress is above the default so that a play's relays, which begin with nothing, have
-    the state soon."""
+    """How many processes a fleet has, and how large its state is.
+
+    The publisher's egress is above the default, so that the relays, which begin with nothing, have the state soon.
+    """
 
     sizes: generated_state.Sizes = generated_state.SMALL
     gateways: int = 60
     processes: int = 2
     relays: int = 3
     regions: int = 2
-    publisher_egress: int = 50_000_000
+    publisher_egress: int = 50_000_000  # bytes a second
     relay_egress: int = EGRESS  # bytes a second
 
 
 FULL = Shape(generated_state.FULL, 2_700, 5, 12, 7)
 
 
-class Fault(NamedTuple):
-    """Times in seconds; `whom`: a relay or region, where that matters."""
-
-    at: float
-    kind: str
-    whom: int
-    lasts: float
-
-
-def drawn(seed: int, shape: Shape, span: float, holds: float) -> list[Fault]:
-    """One of each kind in a drawn order, begun within `span`; a relay stands still, or a region is apart, for
-    `holds`."""
-    chance, found = random.Random(seed), []
-    for kind in chance.sample(KINDS, len(KINDS)):
-        # A region that is cut has two relays at least, which its gateways stay with
-        whom = chance.randrange(max(1, shape.relays - shape.regions) if kind == "cut region" else shape.relays)
-        lasts = holds if kind in ("stop relay", "cut region") else chance.uniform(0.2, 1.5)
-        found.append(Fault(chance.uniform(0, span), kind, whom, lasts))
-    return sorted(found)
-
-
 class Fleet:
+    """The processes of one run, the connections between them, and the reports of the hollow gateways."""
+
     def __init__(self, folder: Path, shape: Shape, seed: int) -> None:
-        self.folder, self.shape, self.seed = folder, shape, seed
+        self.folder = folder
+        self.shape = shape
+        self.seed = seed
         self.processes: dict[str, subprocess.Popen] = {}
-        self.files: dict[str, tuple[Any, bytes]] = {}  # what hollow processes tell, and the line that is coming
-        self.followers: dict[str, list[str]] = {}  # by process, in its order
-        self.reached: dict[str, list[Reached]] = {}
-        self.at: dict[str, Position] = {}
+        self.report_files: dict[str, tuple[Any, bytes]] = {}  # by process: its output, and the incomplete last line
+        self.followers: dict[str, list[str]] = {}  # by process, in the order of its configuration
+        self.in_force_reports: dict[str, list[InForceReport]] = {}  # by follower
+        self.positions: dict[str, Position] = {}  # by follower
         self.marks: dict[str, list[dict[str, float]]] = {}  # by process
-        self.served: dict[str, int] = {}  # by process, when it began, as now_ms()
-        self.ends: dict[str, End] = {}
-        self.told: list[dict[str, Any]] = []  # the last line of each process
-        self.acked: list[Acked] = []
-        self.doomed: list[Fault] = []  # of the publisher, for the next change sets
-        self.log: list[str] = []  # what was done
-        self.start_at = EMPTY
-        places = free_addresses(1 + shape.relays, socket.SOCK_STREAM)
-        self.publisher, self.relays = places[0], places[1:]
-        self.ways: dict[tuple[int, int], Way] = {}  # from a relay to another one, or the publisher: -1
-        self.operator: Way | None = None
+        self.started_ms: dict[str, int] = {}  # by process, as now_ms()
+        self.final_states: dict[str, FinalState] = {}  # by follower
+        self.final_reports: list[dict[str, Any]] = []  # the last line of each process
+        self.counts: dict[str, int] = {}  # of the followers, by reason; filled by `verify`
+        self.acknowledged: list[AcknowledgedChange] = []
+        self.during_next_publish: list[Callable[[], Awaitable[None]]] = []  # one runs beside each `publish`
+        self.start_position = EMPTY
+        addresses = free_addresses(1 + shape.relays, socket.SOCK_STREAM)
+        self.publisher_address = addresses[0]
+        self.relay_addresses = addresses[1:]
+        self.proxies: dict[tuple[int, int], ConnectionProxy] = {}  # by relay and upstream, as `_upstreams` numbers it
+        self.operator_proxy: ConnectionProxy | None = None
         self.nursery: trio.Nursery | None = None
 
-    # Begin and end
+    async def run(self, scenario: Callable[["Fleet"], Awaitable[Any]]) -> Any:
+        """Starts all processes, runs the scenario, ends all processes, and returns the scenario's result.
 
-    async def run(self, play: Callable[["Fleet"], Awaitable[Any]]) -> Any:
-        """Starts all, plays, ends all; raises DrillProcessError."""
-        result, failed = None, None
+        Raises DrillProcessError where a process does not start or the scenario fails.
+        """
+        result = None
+        failure = None
         try:
             async with trio.open_nursery() as self.nursery:
                 try:
-                    await self._begin()
-                    result = await play(self)
+                    await self._start_all()
+                    result = await scenario(self)
                     await self.end()
-                except (DrillProcessError, PublisherTimeoutError) as error:  # by itself, not inside the nursery's group
-                    failed = error
+                except (DrillProcessError, PublisherTimeoutError) as error:  # raised below, outside an exception group
+                    failure = error
                 self.nursery.cancel_scope.cancel()
         finally:
-            for process in self.processes.values():
-                process.kill()
-            for process in self.processes.values():
-                with suppress(subprocess.TimeoutExpired):
-                    process.wait(END)
-            for file, _ in self.files.values():
-                file.close()
-        if failed is not None:
-            raise DrillProcessError(str(failed)) from failed
+            self._release()
+        if failure is not None:
+            raise DrillProcessError(str(failure)) from failure
         return result
 
-    async def _begin(self) -> None:
+    def _release(self) -> None:
+        for process in self.processes.values():
+            process.kill()
+        for process in self.processes.values():
+            with suppress(subprocess.TimeoutExpired):
+                process.wait(END_TIMEOUT_S)
+        for file, _ in self.report_files.values():
+            file.close()
+
+    # Starting and ending processes
+
+    async def _start_all(self) -> None:
         shape = self.shape
-        self.start_at = await trio.to_thread.run_sync(
-            generated_state.preload, self.folder / "control.sqlite", shape.sizes
-        )
-        self.operator = await self._way(self.publisher)
-        for number in range(shape.relays):
-            for other in self._upstreams(number):
-                self.ways[number, other] = await self._way(self.publisher if other < 0 else self.relays[other])
-        self._write(
-            PUBLISHER, "here", self.publisher, shape.publisher_egress, database=str(self.folder / "control.sqlite")
-        )
-        self.start(PUBLISHER)
-        position = Position(*(await client.status(text(self.publisher), START))["position"])
-        for number, place in enumerate(self.relays):
-            upstreams = [self.ways[number, other].place for other in self._upstreams(number)]
-            self._write(f"relay-{number}", f"r{number % shape.regions}", place, shape.relay_egress, upstreams=upstreams)
-            self.start(f"relay-{number}")
-        with trio.move_on_after(START) as scope:
-            for place in self.relays:
-                while Position(*(await client.status(text(place), START))["position"]) < position:
+        database = self.folder / "control.sqlite"
+        self.start_position = await trio.to_thread.run_sync(generated_state.preload, database, shape.sizes)
+        await self._start_proxies()
+        self._write_config(PUBLISHER, "here", self.publisher_address, shape.publisher_egress, database=str(database))
+        self.start_process(PUBLISHER)
+        status = await client.status(text(self.publisher_address), START_TIMEOUT_S)
+        position = Position(*status["position"])
+        await self._start_relays(position)
+        for process in range(shape.processes):
+            self.start_hollow(f"hollow-{process}", range(process, shape.gateways, shape.processes))
+        await self.wait_until_in_force(position, START_TIMEOUT_S)
+
+    async def _start_proxies(self) -> None:
+        self.operator_proxy = await self._start_proxy(self.publisher_address)
+        for relay in range(self.shape.relays):
+            for upstream in self._upstreams(relay):
+                address = self.publisher_address
+                if upstream != UPSTREAM_PUBLISHER:
+                    address = self.relay_addresses[upstream]
+                self.proxies[relay, upstream] = await self._start_proxy(address)
+
+    async def _start_proxy(self, target: tuple[str, int]) -> ConnectionProxy:
+        proxy = await ConnectionProxy.listen(target)
+        self.nursery.start_soon(proxy.run)
+        return proxy
+
+    async def _start_relays(self, position: Position) -> None:
+        """Starts the relays and waits until each of them has the state of `position`."""
+        shape = self.shape
+        for number, address in enumerate(self.relay_addresses):
+            upstreams = [self.proxies[number, upstream].address for upstream in self._upstreams(number)]
+            region = f"r{number % shape.regions}"
+            self._write_config(f"relay-{number}", region, address, shape.relay_egress, upstreams=upstreams)
+            self.start_process(f"relay-{number}")
+        with trio.move_on_after(START_TIMEOUT_S) as scope:
+            for address in self.relay_addresses:
+                while Position(*(await client.status(text(address), START_TIMEOUT_S))["position"]) < position:
                     await trio.sleep(0.1)
         if scope.cancelled_caught:
-            raise DrillProcessError(f"not all relays had the state after {START:g} s")
-        for process in range(shape.processes):
-            self.hollow(f"hollow-{process}", range(process, shape.gateways, shape.processes))
-        await self.everywhere(position, START)
-
-    async def _way(self, target: tuple[str, int]) -> Way:
-        way = await Way.to(target)
-        self.nursery.start_soon(way.run)
-        return way
+            raise DrillProcessError(
+                f"not all of the {shape.relays} relays reached {tuple(position)} within {START_TIMEOUT_S:g} s"
+            )
 
     def _upstreams(self, relay: int) -> list[int]:
-        """The first of a region follows the publisher, or the first of the next region; others the first of theirs,
-        or the publisher."""
-        shape, region = self.shape, relay % self.shape.regions
+        """Numbers of the relays that a relay follows, the preferred one first; -1 is the publisher.
+
+        The first relay of a region follows the publisher, or else the first relay of the next region. The others follow
+        the first relay of their region, or else the publisher.
+        """
+        regions = self.shape.regions
+        region = relay % regions
         if relay != region:
-            return [region, -1]
-        return [-1, (region + 1) % shape.regions] if shape.regions > 1 else [-1]
+            return [region, UPSTREAM_PUBLISHER]
+        if regions > 1:
+            return [UPSTREAM_PUBLISHER, (region + 1) % regions]
+        return [UPSTREAM_PUBLISHER]
 
-    def _write(self, name: str, region: str, listen: tuple[str, int], egress: int, **more: Any) -> None:
-        (self.folder / f"{name}.toml").write_bytes(
-            tomli_w.dumps(
-                {
-                    "name": name,
-                    "region": region,
-                    "listen": text(listen),
-                    **more,
-                    "bounds": {"egress_bytes_per_s": egress},
-                }
-            ).encode()
-        )
+    def _write_config(self, name: str, region: str, listen: tuple[str, int], egress: int, **more: Any) -> None:
+        config = {
+            "name": name,
+            "region": region,
+            "listen": text(listen),
+            **more,
+            "bounds": {"egress_bytes_per_s": egress},
+        }
+        (self.folder / f"{name}.toml").write_bytes(tomli_w.dumps(config).encode())
 
-    def start(self, name: str) -> None:
-        """The publisher or a relay, by its file."""
+    def start_process(self, name: str) -> None:
+        """Starts the publisher, or the relay of that name, with its configuration file."""
         kind = "relay" if name.startswith("relay") else "publisher"
         with open(self.folder / f"{name}.log", "ab") as log:
             self.processes[name] = subprocess.Popen(
@@ -186,241 +197,186 @@
             )
 
     def relays_of(self, gateway: int) -> list[int]:
-        """Its own, and another one, of its region where that has two."""
-        shape, home = self.shape, gateway % self.shape.relays
-        others = [relay for relay in range(shape.relays) if relay != home and (relay - home) % shape.regions == 0] or [
-            (home + 1) % shape.relays
-        ]
+        """Numbers of the two relays that a gateway follows: its own, and another one.
+
+        The other one is of the same region where that has two relays.
+        """
+        shape = self.shape
+        home = gateway % shape.relays
+        others = [relay for relay in range(shape.relays) if relay != home and (relay - home) % shape.regions == 0]
+        if not others:
+            others = [(home + 1) % shape.relays]
         return [home, others[gateway // shape.relays % len(others)]]
 
-    def hollow(self, name: str, gateways: Sequence[int], cold: bool = False) -> None:
-        """A process of hollow ones; its first one keeps records. They follow as `relays_of` says."""
-        who = [f"{'cold' if cold else 'gateway'}-{gateway}" for gateway in gateways]
+    def start_hollow(self, name: str, gateways: Sequence[int], cold: bool = False) -> None:
+        """Starts a process of hollow gateways that follow the relays of `relays_of`.
+
+        Its first gateway keeps complete records. A cold gateway begins without the state.
+        """
+        kind = "cold" if cold else "gateway"
+        names = [f"{kind}-{gateway}" for gateway in gateways]
         config = {
             "sizes": self.shape.sizes,
-            "start": self.start_at,
+            "start": self.start_position,
             "followers": [
                 {
-                    "who": one,
-                    "relays": [text(self.relays[relay]) for relay in self.relays_of(gateway)],
+                    "who": follower,
+                    "relays": [text(self.relay_addresses[relay]) for relay in self.relays_of(gateway)],
                     "seed": self.seed * 10_000 + gateway,
                     "cold": cold,
                     "full": number == 0,
                 }
-                for number, (one, gateway) in enumerate(zip(who, gateways, strict=True))
+                for number, (follower, gateway) in enumerate(zip(names, gateways, strict=True))
             ],
         }
         path = self.folder / f"{name}.json"
+        reports = path.with_suffix(".reports")
         path.write_text(json.dumps(config))
-        with open(path.with_suffix(".told"), "wb") as told, open(path.with_suffix(".log"), "wb") as log:
+        with open(reports, "wb") as output, open(path.with_suffix(".log"), "wb") as log:
             self.processes[name] = subprocess.Popen(
                 [sys.executable, "-m", "oakfork.lab.scale.hollow_gateways", str(path)],
                 stdin=subprocess.DEVNULL,
-                stdout=told,
+                stdout=output,
                 stderr=log,
             )
-        self.files[name] = (open(path.with_suffix(".told"), "rb"), b"")
-        self.followers[name] = who
-        self.at |= dict.fromkeys(who, EMPTY)
+        self.report_files[name] = (open(reports, "rb"), b"")
+        self.followers[name] = names
+        self.positions |= dict.fromkeys(names, EMPTY)
 
     async def end(self) -> None:
-        """The hollow ones tell where they are and end."""
-        for name in self.files:
+        """Ends the processes of hollow gateways and reads their final reports."""
+        for name in self.report_files:
             self.processes[name].terminate()
-        with trio.move_on_after(END):
-            while any(self.processes[name].poll() is None for name in self.files):
+        with trio.move_on_after(END_TIMEOUT_S):
+            while any(self.processes[name].poll() is None for name in self.report_files):
                 await trio.sleep(0.05)
-        self.read()
+        self.read_reports()
+
+    async def kill(self, name: str) -> None:
+        """Kills a process and waits until it has ended."""
+        self.processes[name].kill()
+        await trio.to_thread.run_sync(self.processes[name].wait, KILL_TIMEOUT_S)
 
-    # What is told
+    # Publishing
 
-    def read(self) -> None:
-        for name, (file, rest) in self.files.items():
-            *lines, rest = (rest + file.read()).split(b"\n")
-            self.files[name] = (file, rest)
-            for line in lines:
-                self._line(name, json.loads(line))
-
-    def _line(self, name: str, told: dict[str, Any]) -> None:
-        who = self.followers[name]
-        if "mark" in told:
-            self.marks.setdefault(name, []).append(told)
-        elif "in_force" in told:
-            for number, term, count, ms, digest in told["in_force"]:
-                self.reached.setdefault(who[number], []).append(Reached(Position(term, count), ms, digest))
-                self.at[who[number]] = Position(term, count)
-        elif "serving" in told:
-            self.served[name] = told["ms"]
-        elif "end" in told:
-            self.told.append(told)
-            for one, (term, count, digest, brute) in zip(who, told["end"], strict=True):
-                self.ends[one] = End(Position(term, count), digest, brute)
-
-    async def everywhere(self, position: Position, seconds: float) -> None:
-        """Until all hollow ones have it; raises DrillProcessError."""
-        with trio.move_on_after(seconds):
+    async def publish(self, change: generated_state.Change) -> Position:
+        """Publishes a change set and returns its position once it is acknowledged.
+
+        Also waits for the first action of `during_next_publish`, which runs beside it. Raises DrillProcessError where
+        the change set is rejected or not answered.
+        """
+        verdict = None
+        failure = None
+        answered_ms = 0
+        async with trio.open_nursery() as nursery:
+            if self.during_next_publish:
+                nursery.start_soon(self.during_next_publish.pop(0))
+                await trio.lowlevel.checkpoint()
+            try:
+                verdict = await client.publish(self.operator_proxy.address, change.id, change.file, VERDICT_TIMEOUT_S)
+                answered_ms = now_ms()
+            except PublisherTimeoutError as error:  # raised below, outside an exception group
+                failure = error
+        if failure is not None or verdict.position is None:
+            raise DrillProcessError(f"change set {change.id} was not accepted: {failure or verdict.faults[:3]}")
+        self.acknowledged.append(AcknowledgedChange(change.id, verdict.position, answered_ms, change.rows))
+        return verdict.position
+
+    async def wait_until_in_force(self, position: Position, timeout: float) -> None:
+        """Waits until all hollow gateways have the position in force; raises DrillProcessError after `timeout` s."""
+        with trio.move_on_after(timeout):
             while True:
-                self.read()
-                if not any(there < position for there in self.at.values()):
+                self.read_reports()
+                if not any(reached < position for reached in self.positions.values()):
                     return
-                for name in self.files:
+                for name in self.report_files:
                     if self.processes[name].poll() is not None:
-                        raise DrillProcessError(f"{name} ended: {self._last(name)}")
+                        raise DrillProcessError(
+                            f"process {name} ended early, its log ends with: {self._log_tail(name)}"
+                        )
                 await trio.sleep(0.1)
-        late = [who for who, there in self.at.items() if there < position]
+        late = [follower for follower, reached in self.positions.items() if reached < position]
         raise DrillProcessError(
-            f"{len(late)} of {len(self.at)} not at {tuple(position)} after {seconds:g} s: {late[:5]}"
+            f"{len(late)} of {len(self.positions)} hollow gateways have not reached {tuple(position)} "
+            f"after {timeout:g} s: {late[:LATE_QUOTED]}"
         )
 
-    def _last(self, name: str) -> str:
-        return (self.folder / f"{name}.log").read_text()[-400:]
-
-    def judged(self) -> list[str]:
-        """The witness's faults; none: all is well."""
-        counts: dict[str, int] = {}
-        for told in self.told:
-            for reason, count in told["counts"].items():
-                counts[reason] = counts.get(reason, 0) + count
-        self.counts = counts
-        return fleet_verifier.judge(
-            fleet_verifier.Seen(
+    def _log_tail(self, name: str) -> str:
+        return (self.folder / f"{name}.log").read_text()[-LOG_TAIL:]
+
+    # Reports of the hollow gateways
+
+    def read_reports(self) -> None:
+        """Reads what the processes of hollow gateways have written since the last call."""
+        for name, (file, rest) in self.report_files.items():
+            *lines, rest = (rest + file.read()).split(b"\n")
+            self.report_files[name] = (file, rest)
+            for line in lines:
+                self._read_line(name, json.loads(line))
+
+    def _read_line(self, name: str, report: dict[str, Any]) -> None:
+        followers = self.followers[name]
+        if "mark" in report:
+            self.marks.setdefault(name, []).append(report)
+        elif "in_force" in report:
+            for number, term, count, ms, digest in report["in_force"]:
+                position = Position(term, count)
+                self.in_force_reports.setdefault(followers[number], []).append(InForceReport(position, ms, digest))
+                self.positions[followers[number]] = position
+        elif "serving" in report:
+            self.started_ms[name] = report["ms"]
+        elif "end" in report:
+            self.final_reports.append(report)
+            for follower, (term, count, digest, record_digest) in zip(followers, report["end"], strict=True):
+                self.final_states[follower] = FinalState(Position(term, count), digest, record_digest)
+
+    def verify(self) -> list[str]:
+        """The verifier's violations, none where all is well; also adds up `counts`."""
+        self.counts = {}
+        for report in self.final_reports:
+            for reason, count in report["counts"].items():
+                self.counts[reason] = self.counts.get(reason, 0) + count
+        return fleet_verifier.find_violations(
+            fleet_verifier.Observations(
                 generated_state.base(self.shape.sizes),
-                self.start_at.number,
-                self.acked,
-                self.reached,
-                {who: end for who, end in self.ends.items() if who in self.at},
-                list(self.at),
-                sum(told["half"] for told in self.told),
-                sum(told["conflicts"] for told in self.told),
+                self.start_position.number,
+                self.acknowledged,
+                self.in_force_reports,
+                {follower: state for follower, state in self.final_states.items() if follower in self.positions},
+                list(self.positions),
+                sum(report["half"] for report in self.final_reports),
+                sum(report["conflicts"] for report in self.final_reports),
             )
         )
 
-    def spread(self, acked: Sequence[Acked], who: Sequence[str] | None = None) -> dict[str, float]:
-        """Milliseconds from acknowledged to in force, over all change sets and followers: median, 99 in 100, the
-        last."""
-        found = []
-        for one in self.at if who is None else who:
-            reached = self.reached.get(one, [])
-            positions = [each.position for each in reached]
-            for each in acked:
-                place = bisect_left(positions, each.position)
-                if place < len(reached):
-                    found.append(max(0, reached[place].ms - each.ms))
-        if not found:
+    def propagation_times(
+        self, acknowledged: Sequence[AcknowledgedChange], followers: Sequence[str] | None = None
+    ) -> dict[str, float]:
+        """Milliseconds from acknowledged to in force, over the change sets and the followers (all by default).
+
+        The median, the 99th percentile, the maximum and the number of values; empty where nothing is in force.
+        """
+        delays_ms = []
+        for follower in self.positions if followers is None else followers:
+            reports = self.in_force_reports.get(follower, [])
+            positions = [report.position for report in reports]
+            for change in acknowledged:
+                index = bisect_left(positions, change.position)
+                if index < len(reports):
+                    delays_ms.append(max(0, reports[index].ms - change.ms))
+        if not delays_ms:
             return {}
         return {
-            "median_ms": float(numpy.median(found)),
-            "p99_ms": float(numpy.percentile(found, 99)),
-            "last_ms": float(max(found)),
-            "values": len(found),
+            "median_ms": float(numpy.median(delays_ms)),
+            "p99_ms": float(numpy.percentile(delays_ms, 99)),
+            "last_ms": float(max(delays_ms)),
+            "values": len(delays_ms),
         }
 
-    def taken(self) -> dict[str, dict[str, float]]:
-        """Processor seconds and bytes of memory of the publisher and each relay, so far."""
+    def resource_use(self) -> dict[str, dict[str, float]]:
+        """Processor seconds so far and bytes of memory, of the publisher and each relay that is running."""
         return {
             name: {"processor_s": processor_seconds(process.pid), "memory_bytes": memory(process.pid)[0]}
             for name, process in self.processes.items()
-            if name not in self.files and process.poll() is None
+            if name not in self.report_files and process.poll() is None
         }
-
-    # What is done
-
-    async def publish(self, change: generated_state.Change) -> Position:
-        """Until it is acknowledged; raises DrillProcessError where it is not.
-
-        The one that comes upon a fault of the publisher's
-        also waits until that answers again."""
-        verdict, failed, ms = None, None, 0
-        async with trio.open_nursery() as nursery:
-            if self.doomed:
-                nursery.start_soon(self._doom, self.doomed.pop(0))
-                await trio.lowlevel.checkpoint()
-            try:  # by itself, not inside the nursery's group
-                verdict, ms = await client.publish(self.operator.place, change.id, change.file, PATIENCE), now_ms()
-            except PublisherTimeoutError as error:
-                failed = error
-        if failed is not None or verdict.position is None:
-            raise DrillProcessError(f"{change.id} was not taken: {failed or verdict.faults[:3]}")
-        self.acked.append(Acked(change.id, verdict.position, ms, change.rows))
-        return verdict.position
-
-    async def _doom(self, fault: Fault) -> None:
-        """The publisher is killed while it has a change set in hand: at a drawn moment, or once that is in force
-        somewhere and its answer swallowed."""
-        if fault.kind == "lose answer":
-            known = max(self.at.values())
-            self.operator.mute = True
-            with trio.move_on_after(LOST):
-                while max(self.at.values()) <= known:
-                    await trio.sleep(0.02)
-                    self.read()
-        else:
-            await trio.sleep(fault.lasts / 100)  # to 15 ms
-        await self.kill(PUBLISHER)
-        self.operator.mute = False
-        await trio.sleep(fault.lasts)
-        self.start(PUBLISHER)
-        with suppress(PublisherTimeoutError):  # which the next change set tells
-            await client.status(text(self.publisher), START)
-
-    async def kill(self, name: str) -> None:
-        self.processes[name].kill()
-        await trio.to_thread.run_sync(self.processes[name].wait, 5)
-
-    async def strike(self, fault: Fault) -> None:
-        """One that undoes itself after its time; the publisher's wait for the next change set."""
-        self.log.append(f"{now_ms()} {fault.at:.3f} {fault.kind} {fault.whom} {fault.lasts:.3f}")
-        name = f"relay-{fault.whom}"
-        if fault.kind in ("kill publisher", "lose answer"):
-            self.doomed.append(fault)
-        elif fault.kind == "kill relay":
-            await self.kill(name)
-            await trio.sleep(fault.lasts)
-            self.start(name)
-        elif fault.kind == "stop relay":
-            process = self.processes[name]
-            process.send_signal(signal.SIGSTOP)
-            await trio.sleep(fault.lasts)
-            process.send_signal(signal.SIGCONT)
-        elif fault.kind == "end in a frame":
-            for way in self.ways.values():
-                way.tears = 1
-        else:
-            region = self.shape.regions
-            ways = [
-                way
-                for (relay, other), way in self.ways.items()
-                if (relay % region == fault.whom) != (other >= 0 and other % region == fault.whom)
-            ]
-            for way in ways:
-                way.shut()
-            await trio.sleep(fault.lasts)
-            for way in ways:
-                way.open()
-
-    async def faults(
-        self, plan: Sequence[Fault], changes: generated_state.Changes, every: float, settled: float
-    ) -> None:
-        """Strikes as planned while change sets go on, then waits until all have the last one."""
-        begun, done = trio.current_time(), trio.Event()
-
-        async def strike_all() -> None:
-            async with trio.open_nursery() as nursery:
-                for fault in plan:
-                    await trio.sleep_until(begun + fault.at)
-                    nursery.start_soon(self.strike, fault)
-            done.set()
-
-        failed = None
-        async with trio.open_nursery() as nursery:
-            nursery.start_soon(strike_all)
-            try:
-                while not done.is_set() or self.doomed:
-                    await self.publish(changes.some(4))
-                    await trio.sleep(every)
-            except DrillProcessError as error:
-                failed = error
-                nursery.cancel_scope.cancel()
-        if failed is not None:
-            raise DrillProcessError(str(failed))
-        await self.everywhere(await self.publish(changes.some(4)), settled)
--- a/oakfork/lab/scale/real_gateways.py
+++ b/oakfork/lab/scale/real_gateways.py
@@ -1,6 +1,8 @@
-"""Real gateways under load beside a fleet of hollow ones: they follow the same relays by their fleet files, hold the
-same state, and send to the servers of one service that the publisher tells them. The same client asks them with change
-sets going on and without, and the servers straight, in blocks whose order a seed draws.
+"""Real gateways under load beside a fleet of hollow ones.
+
+They follow the same relays by their fleet files, hold the same state, and send to the servers of one service that the
+publisher announces. One client calls them with and without change sets going out, and calls the servers directly, in
+blocks whose order a seed draws.
 """
 
 import random
@@ -21,11 +23,15 @@
 
 SERVICE = "beside"
 LEASES = {"voters": [0], "length_ms": 3000, "act_ms": 250, "drift_permille": 10}
+UNUSED_ADDRESS = "127.0.0.1:9"  # of a discovery service: these gateways get their servers from the publisher
 
 
 class Sizes(NamedTuple):
-    """Times are seconds. `every`: between change sets, each of a record of the made state and, every other one, of one
-    of these gateways' own servers too; 2,000 bunched into an hour come each 1.8 s."""
+    """How much is run. Times are seconds.
+
+    `every` is the time between change sets: each changes a record of the generated state, and every other one is
+    followed by one of these gateways' own servers. 2,000 change sets bunched into an hour come each 1.8 s.
+    """
 
     gateways: int = 3
     servers: int = 8
@@ -35,17 +41,21 @@
     block: float = 3.0
     warm: float = 1.0
     every: float = 0.5
-    ready: float = 120.0  # until they have the state and send where it says
+    ready: float = 120.0  # timeout until the gateways have the state and send to the announced servers
 
 
 SMALL = Sizes(gateways=2, servers=3, rate=40.0, aim_ms=500.0, rounds=1, block=0.4, warm=0.1, every=0.1, ready=30.0)
 
 
-class Own:
-    """The change sets of the service that the real gateways serve. Each value is another one, as made.Changes' are."""
+class ServiceChanges:
+    """The change sets of the service that the real gateways send to.
+
+    No value comes twice, as with generated_state.Changes.
+    """
 
     def __init__(self, addresses: list[str]) -> None:
-        self.addresses, self.serial = addresses, 0
+        self.addresses = addresses
+        self.serial = 0
 
     def _server(self, number: int) -> generated_state.Item:
         return {
@@ -60,55 +70,61 @@
             "service": SERVICE,
         }
 
-    def begin(self) -> generated_state.Change:
+    def first(self) -> generated_state.Change:
+        """The change set that creates the service and all its servers."""
         service = {"name": SERVICE, "methods": [{"name": "read", "aim_ms": 100, "deadline_ms": 400}]}
-        return self._change(
-            [(Kind.SERVICE, service)] + [(Kind.SERVER, self._server(number)) for number in range(len(self.addresses))]
-        )
+        servers = [(Kind.SERVER, self._server(number)) for number in range(len(self.addresses))]
+        return self._change([(Kind.SERVICE, service)] + servers)
 
-    def turn(self) -> generated_state.Change:
-        """The registered size of one changes: nothing that the choice among servers would notice."""
+    def next(self) -> generated_state.Change:
+        """A change set that changes one server's registered size, which the choice among servers does not notice."""
         self.serial += 1
         item = self._server(self.serial % len(self.addresses))
         return self._change([(Kind.SERVER, item | {"started_ms": 0, "weight": 1 + self.serial % 1000 / 1000})])
 
     def _change(self, put: list[tuple[Kind, generated_state.Item]]) -> generated_state.Change:
-        return generated_state.change(
-            f"{SERVICE}-{self.serial}", [((kind, item.get("id") or item["name"]), item) for kind, item in put], []
-        )
+        items = [((kind, item.get("id") or item["name"]), item) for kind, item in put]
+        return generated_state.change(f"{SERVICE}-{self.serial}", items, [])
 
 
-class Beside:
+class RealGatewayLoad:
+    """Runs the real gateways and the client that calls them, beside a running fleet."""
+
     def __init__(self, fleet: Fleet, changes: generated_state.Changes, sizes: Sizes, seed: int) -> None:
-        self.fleet, self.changes, self.sizes, self.dice = fleet, changes, sizes, random.Random(seed)
+        self.fleet = fleet
+        self.changes = changes
+        self.sizes = sizes
+        self.random = random.Random(seed)
         self.published = 0  # times that change sets went out beside the load
-        self.failed: DrillProcessError | None = None
+        self.failure: DrillProcessError | None = None
 
     async def run(self) -> dict[str, Any]:
-        """What the client saw; raises DrillProcessError where
-        the gateways do not start, or do not send where they are told."""
+        """Returns what the client saw.
+
+        Raises DrillProcessError where the gateways do not start, or do not send to the servers that are announced.
+        """
         sizes = self.sizes
         with tempfile.TemporaryDirectory(prefix="oakfork-beside-") as folder, Parties(sizes.servers, WORK) as parties:
-            own = Own(parties.addresses)
-            await self.fleet.publish(own.begin())
-            with Tier(  # whose configurations know the first server alone
+            service_changes = ServiceChanges(parties.addresses)
+            await self.fleet.publish(service_changes.first())
+            with Tier(  # whose configurations name the first server only
                 Path(folder),
                 "beside",
                 PROGRAM,
                 sizes.gateways,
-                "127.0.0.1:9",
+                UNUSED_ADDRESS,
                 listed(1, parties.addresses),
                 sizes.aim_ms,
-                fleet=self._file,
+                fleet=self._fleet_file,
             ) as tier:
                 await tier.ready()
-                await self._told(tier, parties)
-                blocks = await self._blocks(tier, parties, own)
+                await self._wait_for_servers(tier, parties)
+                blocks = await self._blocks(tier, parties, service_changes)
                 tier.leave()
             return self._figures(blocks, parties)
 
-    def _file(self, index: int, addresses: list[str]) -> dict[str, Any]:
-        relays = [text(self.fleet.relays[relay]) for relay in self.fleet.relays_of(index)]
+    def _fleet_file(self, index: int, addresses: list[str]) -> dict[str, Any]:
+        relays = [text(self.fleet.relay_addresses[relay]) for relay in self.fleet.relays_of(index)]
         return {
             "revision": 1,
             "addresses": addresses,
@@ -117,59 +133,63 @@
         }
 
     def _load(self, seconds: float) -> tuple[float, float, float]:
+        """RPCs a second, seconds, and the deadline in milliseconds."""
         return self.sizes.rate * self.sizes.gateways, seconds, 2 * self.sizes.aim_ms
 
-    async def _told(self, tier: Tier, parties: Parties) -> None:
-        """Until each gateway sends to a server that its configuration did not know."""
+    async def _wait_for_servers(self, tier: Tier, parties: Parties) -> None:
+        """Calls each gateway until it sends to a server that its configuration does not name."""
         with trio.move_on_after(self.sizes.ready) as scope:
             for listen in tier.listens:
-                others: set[int] = set()
-                while not others - {0}:
-                    await play([listen], *self._load(self.sizes.warm), self.dice.getrandbits(32))
-                    others = {row.server for rows in parties.served().values() for row in rows}
+                servers: set[int] = set()
+                while not servers - {0}:
+                    await play([listen], *self._load(self.sizes.warm), self.random.getrandbits(32))
+                    servers = {row.server for rows in parties.served().values() for row in rows}
         if scope.cancelled_caught:
             raise DrillProcessError(
-                f"the gateways beside the fleet were not told their servers within {self.sizes.ready:g} s"
+                f"the real gateways did not send to the announced servers within {self.sizes.ready:g} s"
             )
 
-    async def _blocks(self, tier: Tier, parties: Parties, own: Own) -> dict[str, list[Block]]:
-        sizes, kinds = self.sizes, (DIRECT, WITH, WITHOUT)
+    async def _blocks(self, tier: Tier, parties: Parties, service_changes: ServiceChanges) -> dict[str, list[Block]]:
+        sizes = self.sizes
+        kinds = (DIRECT, WITH, WITHOUT)
         blocks: dict[str, list[Block]] = {kind: [] for kind in kinds}
-        for kind in [kind for _ in range(sizes.rounds) for kind in self.dice.sample(kinds, len(kinds))]:
+        order = [kind for _ in range(sizes.rounds) for kind in self.random.sample(kinds, len(kinds))]
+        for kind in order:
             async with trio.open_nursery() as nursery:
                 if kind == WITH:
-                    nursery.start_soon(self._publish, own)
+                    nursery.start_soon(self._publish, service_changes)
                 await trio.sleep(sizes.warm / 2)
                 targets = parties.addresses if kind == DIRECT else tier.listens
-                blocks[kind].append(await play(targets, *self._load(sizes.block), self.dice.getrandbits(32)))
+                blocks[kind].append(await play(targets, *self._load(sizes.block), self.random.getrandbits(32)))
                 nursery.cancel_scope.cancel()
-            if self.failed is not None:
-                raise DrillProcessError(str(self.failed)) from self.failed
-            await self.fleet.everywhere(self.fleet.acked[-1].position, sizes.ready)
+            if self.failure is not None:
+                raise DrillProcessError(str(self.failure)) from self.failure
+            await self.fleet.wait_until_in_force(self.fleet.acknowledged[-1].position, sizes.ready)
         return blocks
 
-    async def _publish(self, own: Own) -> None:
-        """Until it is cancelled; a change set that is under way then is waited for, or its answer would be lost."""
+    async def _publish(self, service_changes: ServiceChanges) -> None:
+        """Publishes change sets until it is cancelled; one in flight is waited for, or its answer would be lost."""
         try:
             while True:
                 with trio.CancelScope(shield=True):
                     await self.fleet.publish(self.changes.some())
                     if self.published % 2 == 0:
-                        await self.fleet.publish(own.turn())
+                        await self.fleet.publish(service_changes.next())
                     self.published += 1
                 await trio.sleep(self.sizes.every)
-        except DrillProcessError as error:  # told by itself, not inside the nursery's group
-            self.failed = error
+        except DrillProcessError as error:  # raised by `_blocks`, outside an exception group
+            self.failure = error
 
     def _figures(self, blocks: dict[str, list[Block]], parties: Parties) -> dict[str, Any]:
-        served, found = parties.served(), {}
-        for kind, played in blocks.items():
-            rows = [row for block in played for row in block.rows if row.status == "200"]
-            found[kind] = client_of(rows, served, kind)
-            found[kind]["answers"] = summed(block.answers for block in played)
-            found[kind]["sent late by the client"] = sum(block.behind for block in played)
-        straight = found[DIRECT]["beside the server"]
-        added = {kind: over(straight, found[kind]["beside the server"]) for kind in (WITH, WITHOUT)}
+        served = parties.served()
+        client: dict[str, Any] = {}
+        for kind, of_kind in blocks.items():
+            rows = [row for block in of_kind for row in block.rows if row.status == "200"]
+            client[kind] = client_of(rows, served, kind)
+            client[kind]["answers"] = summed(block.answers for block in of_kind)
+            client[kind]["sent late by the client"] = sum(block.behind for block in of_kind)
+        direct = client[DIRECT]["beside the server"]
+        added = {kind: over(direct, client[kind]["beside the server"]) for kind in (WITH, WITHOUT)}
         ratio = {
             quantile: round(added[WITH][quantile] / added[WITHOUT][quantile], 3)
             for quantile in ("p50_ms", "p99_ms")
@@ -178,7 +198,7 @@
         return {
             "sizes": self.sizes._asdict(),
             "change_sets": self.published,
-            "client": found,
+            "client": client,
             "added": added,
             "with changes over without": ratio,
         }
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -200,7 +200,9 @@
     assert f"SECOND // {1 / today.retry_s:g}, serial" in quotas and f"soft // {1 / today.wait_part:g}," in quotas
     assert f"tries = {today.tries:g} if plan.ceiling_rate" in quotas
     assert f"(peer.missed < {today.silent_after:g} or now >= peer.next_try)" in quotas
-    assert f"first : first + {today.row:g}]" in servers and f"{today.row:g} * total / max({today.row:g}, size)" in servers
+    assert (
+        f"first : first + {today.row:g}]" in servers and f"{today.row:g} * total / max({today.row:g}, size)" in servers
+    )
     assert (discovery.HOLD, discovery.TOLD, http_connection.LARGEST_BODY) == (today.watch_s, today.told_s, today.body)
 
 
