--- a/oakfork/lab/scale/added_latency.py
+++ b/oakfork/lab/scale/added_latency.py
@@ -18,7 +18,7 @@
 from oakfork.errors import DrillProcessError
 from oakfork.lab.scale.added_latency_backends import Parties, Served, listed
 from oakfork.lab.scale.added_latency_gateways import MAIL_PER_S, PROGRAM, TRACED, Block, Row, Tier, play
-from oakfork.lab.scale.slopes import Measure, line_of
+from oakfork.lab.scale.slopes import Measure, summary_line
 from oakfork.lab.scale.traced_gateway import ADMISSION, CALL_OUT, PARTS
 
 GROUP = "added"
@@ -338,7 +338,7 @@
                     f"added by servers, {mode}: milliseconds, {which}", "milliseconds", "servers", points, held, NOTE
                 )
             )
-            told(line_of(measures[-1]))
+            told(summary_line(measures[-1]))
     return measures, parts
 
 
--- a/oakfork/lab/scale/capacity_figures.py
+++ b/oakfork/lab/scale/capacity_figures.py
@@ -8,7 +8,7 @@
 from statistics import median
 from typing import Any, Callable, Iterable, NamedTuple, Sequence
 
-from oakfork.lab.scale.slopes import FEWEST, Measure, load
+from oakfork.lab.scale.slopes import MIN_SIZES, Measure, load
 
 NOT_MEASURED = "not measured"
 MEASURED, SURE, WHOLE = 3, 4, 6  # digits that count: of what is measured; derived from the table; of the table
@@ -105,7 +105,7 @@
     def foretold(self, name: str) -> tuple[Figure, Figure]:
         """At the largest size: by the line through the smaller ones, with its 95% interval, and as measured."""
         measure = self._get(name)
-        if measure is None or len(measure.points) <= FEWEST:
+        if measure is None or len(measure.points) <= MIN_SIZES:
             return Figure(None, None, None, (name,)), Figure(None, None, None, (name,))
         size, _ = measure.points[-1]
         told = replace(measure, points=measure.points[:-1]).at(size)
--- a/oakfork/lab/scale/capacity_tables.py
+++ b/oakfork/lab/scale/capacity_tables.py
@@ -115,7 +115,7 @@
     return found
 
 
-def written(page: str, found: dict[str, str]) -> str:
+def fill_page(page: str, found: dict[str, str]) -> str:
     """The page with the tables between its markers; raises ScaleError where either has one that the other has not."""
     marked = set(names_in(page))
     if marked != found.keys():
--- a/oakfork/lab/scale/cli.py
+++ b/oakfork/lab/scale/cli.py
@@ -1,5 +1,7 @@
-"""`oakfork lab scale`: measures, shows what is stored, writes the tables of a page. Imports what it needs where it is
-used."""
+"""`oakfork lab scale`: measures, shows what is stored, and writes the tables of the capacity page.
+
+It imports the measuring modules only when they are used, so that other commands start without them.
+"""
 
 import importlib
 import sys
@@ -20,52 +22,53 @@
     "faults": "oakfork.lab.scale.control_faults",
     "leases": "oakfork.lab.scale.lease_costs",
 }
-STORED = "experiments/scale"
+DEFAULT_FOLDER = "experiments/scale"
 
 
 def _show(folder: Path) -> int:
-    from oakfork.lab.scale.slopes import line_of, load
+    from oakfork.lab.scale.slopes import load, summary_line
 
     try:
-        found = load(folder)
+        measures = load(folder)
     except (OSError, ValueError, KeyError, TypeError) as error:
-        _end(f"{folder}: not usable: {error!r}")
-    for measure in found.values():
-        click.echo(line_of(measure))
-    if not found:
+        _exit_with_usage_error(f"{folder}: not usable: {error!r}")
+    for measure in measures.values():
+        click.echo(summary_line(measure))
+    if not measures:
         click.echo(f"{folder}: nothing is stored")
     return 0
 
 
 def _page(page: Path, folder: Path, check: bool) -> int:
-    from oakfork.lab.scale.capacity_tables import tables, written
+    from oakfork.lab.scale.capacity_tables import fill_page, tables
 
     try:
         text = page.read_text()
-        told = written(text, tables(folder))
+        expected = fill_page(text, tables(folder))
     except (OSError, ValueError, KeyError, TypeError) as error:
-        _end(f"{page}: not written: {error}")
+        _exit_with_usage_error(f"{page}: not written: {error}")
+    differs = expected != text
     if check:
-        click.echo(f"{page}: " + ("as stored" if told == text else f"differs from what {folder} gives"))
-        return EXIT_FAILURE if told != text else 0
-    if told != text:
-        page.write_text(told)
-    click.echo(f"{page}: {'written' if told != text else 'as it was'}")
+        click.echo(f"{page}: " + (f"differs from what {folder} gives" if differs else "as stored"))
+        return EXIT_FAILURE if differs else 0
+    if differs:
+        page.write_text(expected)
+    click.echo(f"{page}: {'written' if differs else 'as it was'}")
     return 0
 
 
 def _measure(name: str, folder: Path | None, small: bool) -> None:
-    from oakfork.lab.scale.slopes import line_of, store
+    from oakfork.lab.scale.slopes import store, summary_line
 
     try:
         group = importlib.import_module(GROUPS[name])
     except ModuleNotFoundError as error:
-        _end(f"{name}: {error}")
-    measures, more = group.measure(lambda line: click.echo(line, err=True), small)
+        _exit_with_usage_error(f"{name}: {error}")
+    measures, run_facts = group.measure(lambda line: click.echo(line, err=True), small)
     for measure in measures:
-        click.echo(line_of(measure))
+        click.echo(summary_line(measure))
     if folder:
-        click.echo(str(store(folder, group.GROUP, measures, more)))
+        click.echo(str(store(folder, group.GROUP, measures, run_facts)))
 
 
 @click.command()
@@ -74,7 +77,7 @@
     "--to",
     "to",
     type=click.Path(file_okay=False, path_type=Path),
-    help=f"Where measures are stored; {STORED} if left out.",
+    help=f"Where measures are stored; {DEFAULT_FOLDER} if left out.",
 )
 @click.option("--small", is_flag=True, help="Tiny sizes, to see that it works; stored only with --to.")
 @click.option("--show", is_flag=True, help="Print what is stored, and measure nothing.")
@@ -86,9 +89,10 @@
 @click.option("--check", is_flag=True, help="With --page: only say whether it differs.")
 def scale(groups: tuple[str, ...], to: Path | None, small: bool, show: bool, page: Path | None, check: bool) -> int:
     """Measure how costs grow with the fleet, by groups (docs/CAPACITY.md); all of them if none is named."""
-    if (show or page) and (groups or small) or show and page or check and not page:
-        _end("--show and --page measure nothing and go one at a time; --check needs --page")
-    folder = to or Path(STORED)
+    measures_nothing = show or page
+    if (measures_nothing and (groups or small)) or (show and page) or (check and not page):
+        _exit_with_usage_error("--show and --page measure nothing and go one at a time; --check needs --page")
+    folder = to or Path(DEFAULT_FOLDER)
     if show:
         return _show(folder)
     if page:
@@ -103,7 +107,7 @@
     return 0
 
 
-def _end(text: str) -> NoReturn:
+def _exit_with_usage_error(text: str) -> NoReturn:
     sys.exit(_failed(text, EXIT_USAGE))
 
 
--- a/oakfork/lab/scale/lease_costs.py
+++ b/oakfork/lab/scale/lease_costs.py
@@ -1,5 +1,4 @@
-"""Group "leases": frames, bytes and processor time of the voters, and of those that only watch, in the model, by the
-number of gateways."""
+"""Group "leases": frames, bytes and processor time of voters and watchers by the number of gateways, in the model."""
 
 import platform
 from typing import Any, Callable
@@ -10,22 +9,31 @@
 from oakfork.lab.scale.slopes import Measure
 
 GROUP = "leases"
-GATEWAYS, VOTERS, LOSS = (3, 30, 300, 2_700), 3, 0.01
+GATEWAYS = (3, 30, 300, 2_700)
+SMALL_GATEWAYS = (4, 5, 6, 7)
+VOTERS = 3
+LOSS = 0.01  # share of frames that are lost
 BUSIEST = f"with {HEADERS} bytes of IPv4 and UDP a datagram, of the voter with most of them, one task"
-SEEDS, SECONDS = (1, 2, 3), 120
+SEEDS = (1, 2, 3)
+DURATION_S = 120
+SMALL_DURATION_S = 20
 
 
-def measure(told: Callable[[str], None], small: bool = False) -> tuple[list[Measure], dict[str, Any]]:
-    """The holder lives; the same on any machine."""
-    sizes, seeds, seconds = ((4, 5, 6, 7), SEEDS[:1], 20) if small else (GATEWAYS, SEEDS, SECONDS)
-    found = [(size, [LeaseFleetModel(size, VOTERS, LOSS, seed).run(seconds, 0) for seed in seeds]) for size in sizes]
+def measure(report: Callable[[str], None], small: bool = False) -> tuple[list[Measure], dict[str, Any]]:
+    """Measures all sizes with a holder that stays alive; counts are the same on any machine."""
+    sizes = SMALL_GATEWAYS if small else GATEWAYS
+    seeds = SEEDS[:1] if small else SEEDS
+    seconds = SMALL_DURATION_S if small else DURATION_S
+    results_by_size = [
+        (size, [LeaseFleetModel(size, VOTERS, LOSS, seed).run(seconds, 0) for seed in seeds]) for size in sizes
+    ]
     held = {"voters": VOTERS, "frames_lost": LOSS, "lease_s": LENGTHS.lease / SECOND}
     measures = [
         Measure(
             f"leases by gateways: {what}",
             unit,
             "gateways",
-            [(size, [float(getattr(one, key)) for one in results]) for size, results in found],
+            [(size, [float(getattr(result, key)) for result in results]) for size, results in results_by_size],
             held,
             note,
         )
@@ -44,10 +52,10 @@
         )
     ]
     for one in measures:
-        told(one.name)
+        report(one.name)
     return measures, {
         "python": platform.python_version(),
         "seconds": seconds,
         "seeds": list(seeds),
-        "overlaps": sum(one.overlaps for _, results in found for one in results),
+        "overlaps": sum(result.overlaps for _, results in results_by_size for result in results),
     }
--- a/oakfork/lab/scale/module_costs.py
+++ b/oakfork/lab/scale/module_costs.py
@@ -18,8 +18,8 @@
 from oakfork.interface import SECOND
 from oakfork.lab.scale import module_driver as rig
 from oakfork.lab.scale.module_driver import Driven, Replay, Sizes
-from oakfork.lab.scale.reference_cost import beside_reference, operations, reference_seconds
-from oakfork.lab.scale.slopes import Measure, line_of
+from oakfork.lab.scale.reference_cost import operations, reference_seconds, seconds_and_references
+from oakfork.lab.scale.slopes import Measure, summary_line
 
 GROUP = "module"
 # By plans: as many as frames can name by their byte, and fewer; the others up to the planned size.
@@ -107,7 +107,7 @@
 
 def _measured(call: Callable[[], Any], each: int, values: int) -> Costs:
     """The costs of calls that do `each` units: `values` of them timed, then one counted."""
-    seconds, references = beside_reference(call, values)
+    seconds, references = seconds_and_references(call, values)
     return Costs([operations(call) / each], [value / each for value in seconds], [value / each for value in references])
 
 
@@ -246,7 +246,7 @@
     def take(more: Iterable[Measure]) -> None:
         for one in more:
             measures.append(one)
-            told(line_of(one))
+            told(summary_line(one))
 
     sizes, loops = SMALL if small else SIZES, []
     with rig.collected_as_served():
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -95,17 +95,17 @@
 def test_the_page_is_what_the_stored_measures_and_the_budget_give():
     text = PAGE.read_text()
     assert (
-        capacity_tables.written(text, capacity_tables.tables(STORED)) == text
+        capacity_tables.fill_page(text, capacity_tables.tables(STORED)) == text
     ), "oakfork lab scale --page docs/CAPACITY.md"
 
 
 def test_a_page_that_differs_is_found(tmp_path):
     found = capacity_tables.tables(stored(tmp_path))
-    page = capacity_tables.written(PAGE.read_text(), found)
-    assert capacity_tables.written(page, found) == page
+    page = capacity_tables.fill_page(PAGE.read_text(), found)
+    assert capacity_tables.fill_page(page, found) == page
     for number in re.findall(r"(?<=\| )\d[\d,.]*(?= )", page)[::40]:
         changed = page.replace(f"| {number} ", "| 77777 ", 1)
-        assert changed != page and capacity_tables.written(changed, found) == page
+        assert changed != page and capacity_tables.fill_page(changed, found) == page
     (tmp_path / "page.md").write_text(page.replace("| 2,700 gateways", "| 2,701 gateways", 1))
     words = ["lab", "scale", "--page", str(tmp_path / "page.md"), "--to", str(tmp_path), "--check"]
     assert CliRunner().invoke(main, words).exit_code == 1
@@ -117,16 +117,16 @@
     text, found = PAGE.read_text(), capacity_tables.tables(stored(tmp_path))
     assert set(capacity_tables.names_in(text)) == found.keys()
     with pytest.raises(MeasurementError, match="zone"):
-        capacity_tables.written(text.replace("table: zone", "table: zones"), found)
+        capacity_tables.fill_page(text.replace("table: zone", "table: zones"), found)
     with pytest.raises(MeasurementError, match="peak"):
-        capacity_tables.written(text, {name: table for name, table in found.items() if name != "peak"})
+        capacity_tables.fill_page(text, {name: table for name, table in found.items() if name != "peak"})
     for broken in (
         text.replace("<!-- end of table -->", "", 1),
         text.replace("<!-- table: zone -->", "", 1),
         text + "\n<!-- table: zone -->\n<!-- end of table -->\n",
     ):
         with pytest.raises(MeasurementError, match="twice"):
-            capacity_tables.written(broken, found)
+            capacity_tables.fill_page(broken, found)
 
 
 def strings_and_numbers(path):
--- a/tests/test_scale_module.py
+++ b/tests/test_scale_module.py
@@ -9,10 +9,10 @@
 from oakfork.lab.scale import module_costs, module_driver as rig, reference_cost
 from oakfork.lab.scale.module_driver import Driven, Replay, Sizes
 from oakfork.lab.scale.reference_cost import (
-    beside_reference,
     operations,
     processor_seconds,
     reference_seconds,
+    seconds_and_references,
 )
 
 RPCS = ("rpc at its owner", "rpc that asks", "ask served")
@@ -169,7 +169,7 @@
     clock, loops = [0.0], iter((1.0, 3.0, 1.0, 3.0))
     monkeypatch.setattr(reference_cost, "process_time", lambda: clock[0])
     monkeypatch.setattr(reference_cost, "_loop", lambda: clock.append(clock.pop() + next(loops)))
-    assert beside_reference(lambda: clock.append(clock.pop() + 6.0), 2) == ([6.0, 6.0], [3.0, 3.0])
+    assert seconds_and_references(lambda: clock.append(clock.pop() + 6.0), 2) == ([6.0, 6.0], [3.0, 3.0])
 
 
 def test_each_point_has_seconds_and_references(run):
--- a/tests/test_scale_process.py
+++ b/tests/test_scale_process.py
@@ -1,4 +1,4 @@
-"""Memory and start of one real process by the size of what it is told: what is measured, and that it is gone."""
+"""Memory and start-up of one real process by the size of its configuration, and that no process is left running."""
 
 import json
 import os
@@ -22,69 +22,75 @@
 ]
 
 
-def written(folder, told):
+def write_configuration(folder, document):
+    """Writes a configuration file and returns its path."""
     path = folder / "n0.json"
-    path.write_text(json.dumps(told))
+    path.write_text(json.dumps(document))
     return path
 
 
-def test_a_process_of_one_server_gets_ready_whatever_the_environment_says_and_is_gone_afterwards(tmp_path, monkeypatch):
+def test_child_ignores_the_environment_and_ends_with_the_context(tmp_path, monkeypatch):
+    """LB_ variables of the caller must not reach the child, and it must not outlive the measurement."""
     monkeypatch.setenv("LB_FLEET", str(tmp_path / "none.toml"))
     monkeypatch.setenv("LB_LISTEN", "not an address")
-    told = process_costs.configuration(1, 3)
-    path = written(tmp_path, told)
+    document = process_costs.configuration(1, 3)
+    path = write_configuration(tmp_path, document)
     with process_costs.child(path) as child:
-        process_costs.wait_ready(child, told["listen"], process_costs.log_of(path))
-        now, most = process_costs.memory(child.pid)
-        assert 0 < now <= most and process_costs.processor_seconds(child.pid) >= 0
+        process_costs.wait_ready(child, document["listen"], process_costs.log_of(path))
+        now, peak = process_costs.memory(child.pid)
+        assert 0 < now <= peak
+        assert process_costs.processor_seconds(child.pid) >= 0
         os.kill(child.pid, 0)
     assert child.returncode is not None
     with pytest.raises(ProcessLookupError):
         os.kill(child.pid, 0)
     with closing(socket.socket()) as sock, pytest.raises(ConnectionRefusedError):
-        sock.connect(configuration.parse_address(told["listen"]))
+        sock.connect(configuration.parse_address(document["listen"]))
 
 
-def test_a_process_that_ends_is_told_with_its_log(tmp_path):
-    told = process_costs.configuration(1, 3)
-    with closing(socket.socket()) as taken:
-        taken.bind(configuration.parse_address(told["listen"]))
-        path = written(tmp_path, told)
+def test_child_that_ends_early_is_reported_with_its_log(tmp_path):
+    """The error quotes the log, so that the cause (gateway: its port is in use) is visible."""
+    document = process_costs.configuration(1, 3)
+    with closing(socket.socket()) as other:
+        other.bind(configuration.parse_address(document["listen"]))
+        path = write_configuration(tmp_path, document)
         with (
             process_costs.child(path) as child,
             pytest.raises(DrillProcessError, match="an address of its own can't be had"),
         ):
-            process_costs.wait_ready(child, told["listen"], process_costs.log_of(path))
+            process_costs.wait_ready(child, document["listen"], process_costs.log_of(path))
 
 
-def test_a_process_that_is_never_ready_is_given_up(tmp_path, monkeypatch):
-    monkeypatch.setattr(process_costs, "READY", 0.0)
-    told = process_costs.configuration(1, 3)
-    path = written(tmp_path, told)
+def test_waiting_for_a_child_that_is_never_ready_times_out(tmp_path, monkeypatch):
+    """A child that hangs must not block the measurement, and is killed."""
+    monkeypatch.setattr(process_costs, "READY_TIMEOUT_S", 0.0)
+    document = process_costs.configuration(1, 3)
+    path = write_configuration(tmp_path, document)
     with process_costs.child(path) as child, pytest.raises(DrillProcessError, match="was not ready"):
-        process_costs.wait_ready(child, told["listen"], process_costs.log_of(path))
+        process_costs.wait_ready(child, document["listen"], process_costs.log_of(path))
     assert child.returncode is not None
 
 
-def test_what_a_process_is_told_is_a_configuration_of_that_size_with_nobody_elsewhere(tmp_path):
-    told = process_costs.configuration(1000, 300)
-    assert not faults_in(told)
-    here = configuration.read_configuration({"LB_CONFIG": str(written(tmp_path, told))})
-    assert (
-        len(here.peers) == len(set(here.peers)) == here.settings.gateways == 300 and here.peers[0] == here.peer_listen
-    )
-    assert len({row["addr"] for row in here.known["servers"]}) == 1000 and not here.settings.probing
-    hosts = {configuration.parse_address(row["addr"])[0] for row in here.known["servers"]} | {
-        host for host, _ in here.peers
-    }
+def test_configuration_has_the_size_and_only_loopback_addresses(tmp_path):
+    """The generated configuration is valid, and a measured process cannot reach another machine."""
+    document = process_costs.configuration(1000, 300)
+    assert not faults_in(document)
+    gateway = configuration.read_configuration({"LB_CONFIG": str(write_configuration(tmp_path, document))})
+    assert len(gateway.peers) == len(set(gateway.peers)) == gateway.settings.gateways == 300
+    assert gateway.peers[0] == gateway.peer_listen
+    assert len({row["addr"] for row in gateway.known["servers"]}) == 1000
+    assert not gateway.settings.probing
+    hosts = {configuration.parse_address(row["addr"])[0] for row in gateway.known["servers"]}
+    hosts |= {host for host, _ in gateway.peers}
     assert all(host.startswith("127.") for host in hosts)
 
 
 @pytest.mark.timeout(120)
 def test_memory_grows_with_servers_and_with_gateways():
-    told: list[str] = []
-    measures, held = process_costs.measure(told.append, small=True)
-    assert told == [measure.name for measure in measures] == NAMES
+    """The measures exist under the names that the capacity page reads, and their memory has a positive slope."""
+    lines: list[str] = []
+    measures, held = process_costs.measure(lines.append, small=True)
+    assert lines == [measure.name for measure in measures] == NAMES
     for measure in measures:
         assert all(value > 0 for _, values in measure.points for value in values)
         if measure.unit == "bytes":
