--- a/oakfork/lab/scale/process_costs.py
+++ b/oakfork/lab/scale/process_costs.py
@@ -1,7 +1,7 @@
 """Group "process": memory and start-up of one real gateway process by the size of its configuration.
 
-Each `python -m oakfork` runs as a child process on loopback, one at a time, and is killed at the end. It gets no RPC, and
-nothing listens at the addresses of its configuration.
+Each `python -m oakfork` runs as a child process on loopback, one at a time, and is killed at the end. It gets no RPC,
+and nothing listens at the addresses of its configuration.
 """
 
 import http.client
