--- a/experiments/external_names.py
+++ b/experiments/external_names.py
@@ -22,6 +22,7 @@
     "oakfork/control/status.py": ["_Told"],
     "oakfork/lab/load_generator.py": ["Report"],
     "oakfork/lab/scale/control_costs.py": ["Planned"],
+    "oakfork/lab/scale/added_latency_gateways.py": ["RpcTiming"],
     "oakfork/lab/scale/hollow_gateways.py": ["FollowerConfig", "Config"],
     "oakfork/lab/scale/slopes.py": ["Measure", "Fit"],
     "oakfork/lab/fault_schedule.py": ["Trouble"],
--- a/oakfork/lab/scale/added_latency_backends.py
+++ b/oakfork/lab/scale/added_latency_backends.py
@@ -1,7 +1,7 @@
-"""What gateways and the bare calls of group "added" stand before: servers and discovery, in a process of their own.
+"""What the gateways and the direct calls of group "added" call: servers and discovery, in a process of their own.
 
-The process takes orders as JSON lines on its standard input and ends at its end, or after LIFE. Its servers note when
-they had a request whole and when they began to answer it, by time.perf_counter_ns.
+The process takes orders as JSON lines on its standard input and ends when that is closed, or after LIFETIME_S. Its
+servers record when a request was complete and when they began to answer it, by time.perf_counter_ns.
 """
 
 import json
@@ -21,14 +21,20 @@
 from oakfork.sockets.http_connection import HttpMessage
 from oakfork.sockets.outcomes import Outcome
 
-LIFE = 900.0  # seconds
-MOST_SERVED = 200_000
-KEPT = 64  # changes of the list that a watch may be behind
+LIFETIME_S = 900.0
+END_TIMEOUT_S = 5.0  # for the process to end by itself
+MAX_SERVED = 200_000  # RPCs that are recorded between two readings
+KEPT_CHANGES = 64  # changes of the list that a watch may be behind
+MAX_HOLD_S = 60.0  # of a watch
+POLL_S = 0.05  # for the order to change the list
+SERVER_STRIDE = 7919  # a prime, so that changes go through all servers
 ROOT = Path(__file__).resolve().parents[3]
 
+Answer = tuple[int, bytes, list[tuple[str, str]]]  # status, body, headers
 
-class Served(NamedTuple):
-    """One RPC at one server: nanoseconds."""
+
+class ServedRpc(NamedTuple):
+    """One RPC at one server: when the request was complete and when the answer began, in nanoseconds."""
 
     rpc: str
     server: int
@@ -37,125 +43,135 @@
 
 
 class SteadyServer(FakeServer):
-    """Work of a fixed length; may hang, or break a part of its connections over a request that it has taken."""
+    """A server whose work takes a fixed time; it may hang, or break the connections of a share of its RPCs."""
 
-    def __init__(self, number: int, seconds: float, served: list[Served]) -> None:
+    def __init__(self, number: int, seconds: float, served: list[ServedRpc]) -> None:
         super().__init__(ServerWorkload(seconds, 64, 1000, number))
-        self.number, self.served = number, served
-        self.hangs, self.breaks, self.luck = False, 0.0, random.Random(number)
-
-    async def answer(self, message: HttpMessage) -> tuple[int, bytes, list[tuple[str, str]]]:
+        self.number = number
+        self.served = served
+        self.hangs = False
+        self.breaks = 0.0  # share of RPCs whose connection breaks
+        self.random = random.Random(number)
+
+    async def answer(self, message: HttpMessage) -> Answer:
+        """Answers a request, and records an RPC."""
         came = perf_counter_ns()
         if self.hangs:
             await trio.sleep_forever()
         rpc = message.header(b"x-txn")
         if rpc is None or message.head.target.startswith(b"/-/"):
             return await super().answer(message)
-        if self.luck.random() < self.breaks:
+        if self.random.random() < self.breaks:
             raise ConnectionFailedError(Outcome.GIVEN_UP)
         async with self.cores:
             await trio.sleep(self.work.mean)
-        if len(self.served) < MOST_SERVED:
-            self.served.append(Served(rpc.decode("latin-1"), self.number, came, perf_counter_ns()))
+        if len(self.served) < MAX_SERVED:
+            self.served.append(ServedRpc(rpc.decode("latin-1"), self.number, came, perf_counter_ns()))
         return 200, b"made for " + rpc, []
 
 
 class ChangingList(FakeDiscovery):
-    """Tells those who watch the entries that have changed since, not the whole list."""
+    """Discovery that answers a watch with the entries that have changed since, not with the whole list."""
 
     def begin(self, servers: list[dict[str, Any]]) -> None:
-        """Another list, for gateways that are yet to start."""
-        self.version, self.servers, self.changes = 1, servers, deque(maxlen=KEPT)
+        """Replaces the list, for gateways that are yet to start."""
+        self.version = 1
+        self.servers = servers
+        self.changes: deque[tuple[int, dict[str, Any]]] = deque(maxlen=KEPT_CHANGES)  # version and entry
 
-    def turn(self, number: int) -> None:
-        """The registered size of one server changes: nothing that the choice among servers would notice."""
+    def change_server(self, number: int) -> None:
+        """Changes the registered size of one server, which the choice among servers does not notice."""
         row = self.servers[number]
         row["weight"] = 3.0 - row["weight"]
         self.changes.append((self.version + 1, row))
         self.change(self.servers)
 
-    async def answer(self, message: HttpMessage) -> tuple[int, bytes, list[tuple[str, str]]]:
-        status, body, headers = (
-            await super().answer(message)
-            if b"from=" not in message.head.target
-            else (200, await self._news(message.head.target), [])
-        )
-        return status, body, headers
+    async def answer(self, message: HttpMessage) -> Answer:
+        """Answers a watch with its changes, and any other request as FakeDiscovery does."""
+        if b"from=" in message.head.target:
+            return 200, await self._changes_since(message.head.target), []
+        return await super().answer(message)
 
-    async def _news(self, target: bytes) -> bytes:
-        asked = dict(part.split(b"=") for part in target.partition(b"?")[2].split(b"&"))
-        since = int(asked[b"from"])
+    async def _changes_since(self, target: bytes) -> bytes:
+        query = dict(part.split(b"=") for part in target.partition(b"?")[2].split(b"&"))
+        since = int(query[b"from"])
         if self.version <= since:
-            with trio.move_on_after(min(60.0, int(asked[b"hold_ms"]) / 1000)):
+            with trio.move_on_after(min(MAX_HOLD_S, int(query[b"hold_ms"]) / 1000)):
                 await self.changed.wait()
         behind = bool(self.changes) and self.changes[0][0] > since + 1
         rows = self.servers if behind else [row for version, row in self.changes if version > since]
         return json.dumps({"version": self.version, "full": behind, "servers": rows}).encode()
 
 
-def listed(servers: int, addresses: list[str]) -> list[dict[str, Any]]:
-    """So many entries, which stand for the servers at these addresses in turn."""
+def server_entries(servers: int, addresses: list[str]) -> list[dict[str, Any]]:
+    """That many entries of a list, which share the servers at these addresses in turn."""
     return [entry(number, addresses[number % len(addresses)]) for number in range(servers)]
 
 
-class Play:
-    """The process's side."""
+class BackendProcess:
+    """The process of servers and discovery."""
 
     def __init__(self, servers: int, work_s: float) -> None:
-        self.served: list[Served] = []
+        self.served: list[ServedRpc] = []
         self.servers = [SteadyServer(number, work_s, self.served) for number in range(servers)]
         self.discovery = ChangingList([])
         self.discovery.begin([])
-        self.every = 0.0  # seconds between changes of the list; 0: none
+        self.change_interval_s = 0.0  # between changes of the list; 0: none
 
     async def run(self) -> None:
-        self._say({"servers": [server.address for server in self.servers], "discovery": self.discovery.address})
-        with trio.move_on_after(LIFE):
+        """Serves and carries out orders until the standard input is closed."""
+        self._write({"servers": [server.address for server in self.servers], "discovery": self.discovery.address})
+        with trio.move_on_after(LIFETIME_S):
             async with trio.open_nursery() as nursery:
-                for party in (*self.servers, self.discovery):
-                    nursery.start_soon(party.run)
-                nursery.start_soon(self._change)
-                await self._obey()
+                for service in (*self.servers, self.discovery):
+                    nursery.start_soon(service.run)
+                nursery.start_soon(self._change_list)
+                await self._carry_out_orders()
                 nursery.cancel_scope.cancel()
 
-    async def _obey(self) -> None:
-        left = b""
+    async def _carry_out_orders(self) -> None:
+        rest = b""
         async with trio.lowlevel.FdStream(os.dup(sys.stdin.fileno())) as orders:
             async for data in orders:
-                *lines, left = (left + data).split(b"\n")
+                *lines, rest = (rest + data).split(b"\n")
                 for line in lines:
-                    self._say(self._do(**json.loads(line)))
+                    self._write(self._do(**json.loads(line)))
 
-    def _do(self, do: str, **told: Any) -> dict[str, Any]:
-        if do == "list":  # of so many entries, at the first `among` servers
-            addresses = [server.address for server in self.servers][: told["among"]]
-            self.discovery.begin(listed(told["servers"], addresses))
+    def _do(self, do: str, **arguments: Any) -> dict[str, Any]:
+        if do == "list":  # of that many entries, at the first `among` servers
+            addresses = [server.address for server in self.servers][: arguments["among"]]
+            self.discovery.begin(server_entries(arguments["servers"], addresses))
         elif do == "changes":
-            self.every = told["every_s"]
+            self.change_interval_s = arguments["every_s"]
         elif do == "server":
-            server = self.servers[told["number"]]
-            server.work.mean, server.hangs, server.breaks = told["work_s"], told["hangs"], told["breaks"]
-        elif do == "served":  # since the last time
+            server = self.servers[arguments["number"]]
+            server.work.mean = arguments["work_s"]
+            server.hangs = arguments["hangs"]
+            server.breaks = arguments["breaks"]
+        elif do == "served":  # since the last such order
             served = list(self.served)
             self.served.clear()
             return {"served": served}
         return {}
 
-    def _say(self, told: dict[str, Any]) -> None:
-        sys.stdout.write(json.dumps(told) + "\n")
+    def _write(self, reply: dict[str, Any]) -> None:
+        sys.stdout.write(json.dumps(reply) + "\n")
         sys.stdout.flush()
 
-    async def _change(self) -> None:
-        turn = 0
+    async def _change_list(self) -> None:
+        count = 0
         while True:
-            await trio.sleep(self.every or 0.05)
-            if self.every and self.discovery.servers:
-                turn += 1
-                self.discovery.turn(turn * 7919 % len(self.discovery.servers))
+            await trio.sleep(self.change_interval_s or POLL_S)
+            if self.change_interval_s and self.discovery.servers:
+                count += 1
+                self.discovery.change_server(count * SERVER_STRIDE % len(self.discovery.servers))
+
 
+class Backends:
+    """Starts the process of servers and discovery and gives it orders.
 
-class Parties:
-    """The other side: starts the process and gives it orders. Raises DrillProcessError where it does not answer."""
+    Raises DrillProcessError where the process has ended.
+    """
 
     def __init__(self, servers: int, work_s: float) -> None:
         environment = {key: value for key, value in os.environ.items() if not key.startswith("LB_")}
@@ -167,56 +183,59 @@
             cwd=ROOT,
         )
         self.work_s = work_s
-        self.addresses: list[str] = []
-        self.discovery = ""
+        self.addresses: list[str] = []  # of the servers
+        self.discovery = ""  # address
 
-    def __enter__(self) -> "Parties":
+    def __enter__(self) -> "Backends":
         try:
-            told = self._heard()
+            started = self._read()
         except BaseException:
             self.__exit__()
             raise
-        self.addresses, self.discovery = told["servers"], told["discovery"]
+        self.addresses = started["servers"]
+        self.discovery = started["discovery"]
         return self
 
     def __exit__(self, *error: object) -> None:
         self.process.stdin.close()
         try:
-            self.process.wait(5)
+            self.process.wait(END_TIMEOUT_S)
         except subprocess.TimeoutExpired:
             self.process.kill()
             self.process.wait()
         self.process.stdout.close()
 
-    def _heard(self) -> dict[str, Any]:
-        if not (line := self.process.stdout.readline()):
-            raise DrillProcessError("the process of stand-in servers ended")
+    def _read(self) -> dict[str, Any]:
+        line = self.process.stdout.readline()
+        if not line:
+            raise DrillProcessError("the process of fake servers has ended")
         return json.loads(line)
 
-    def do(self, order: str, **told: Any) -> dict[str, Any]:
-        """Waits until it is done: at once, or the process has ended."""
+    def do(self, order: str, **arguments: Any) -> dict[str, Any]:
+        """Gives an order and returns the reply; the process carries out each order at once."""
         try:
-            self.process.stdin.write(json.dumps({"do": order} | told).encode() + b"\n")
+            self.process.stdin.write(json.dumps({"do": order} | arguments).encode() + b"\n")
             self.process.stdin.flush()
         except OSError:
-            raise DrillProcessError("the process of stand-in servers ended") from None
-        return self._heard()
+            raise DrillProcessError("the process of fake servers has ended") from None
+        return self._read()
 
-    def sound(self) -> None:
-        """Every server does its work."""
+    def reset_servers(self) -> None:
+        """Has every server work without faults again."""
         for number in range(len(self.addresses)):
-            self.server(number)
+            self.set_server(number)
 
-    def server(self, number: int, work_s: float | None = None, hangs: bool = False, breaks: float = 0.0) -> None:
+    def set_server(self, number: int, work_s: float | None = None, hangs: bool = False, breaks: float = 0.0) -> None:
+        """Sets a server's seconds of work for an RPC, and its faults."""
         self.do("server", number=number, work_s=self.work_s if work_s is None else work_s, hangs=hangs, breaks=breaks)
 
-    def served(self) -> dict[str, list[Served]]:
-        """What was served since the last time, by RPC, in the order of the answers."""
-        found: dict[str, list[Served]] = {}
+    def served(self) -> dict[str, list[ServedRpc]]:
+        """What was served since the last call, by RPC, in the order of the answers."""
+        by_rpc: dict[str, list[ServedRpc]] = {}
         for row in self.do("served")["served"]:
-            found.setdefault(row[0], []).append(Served(*row))
-        return found
+            by_rpc.setdefault(row[0], []).append(ServedRpc(*row))
+        return by_rpc
 
 
 if __name__ == "__main__":
-    trio.run(Play(int(sys.argv[1]), float(sys.argv[2])).run)
+    trio.run(BackendProcess(int(sys.argv[1]), float(sys.argv[2])).run)
--- a/oakfork/lab/scale/real_gateways.py
+++ b/oakfork/lab/scale/real_gateways.py
@@ -16,9 +16,10 @@
 from oakfork.errors import DrillProcessError
 from oakfork.lab.port_allocator import text
 from oakfork.lab.scale import generated_state
-from oakfork.lab.scale.added_latency import DIRECT, WITH, WITHOUT, WORK, client_of, over, summed
-from oakfork.lab.scale.added_latency_backends import Parties, listed
-from oakfork.lab.scale.added_latency_gateways import PROGRAM, Block, Tier, play
+from oakfork.lab.scale.added_latency import DIRECT, SERVER_WORK_S, WITH_CHANGES, WITHOUT_CHANGES
+from oakfork.lab.scale.added_latency_backends import Backends, server_entries
+from oakfork.lab.scale.added_latency_figures import added_over, client_figures, sum_counts
+from oakfork.lab.scale.added_latency_gateways import PROGRAM, Block, GatewayTier, run_block
 from oakfork.lab.scale.fleet_run import Fleet
 
 SERVICE = "beside"
@@ -104,24 +105,27 @@
         Raises DrillProcessError where the gateways do not start, or do not send to the servers that are announced.
         """
         sizes = self.sizes
-        with tempfile.TemporaryDirectory(prefix="oakfork-beside-") as folder, Parties(sizes.servers, WORK) as parties:
-            service_changes = ServiceChanges(parties.addresses)
+        with (
+            tempfile.TemporaryDirectory(prefix="oakfork-beside-") as folder,
+            Backends(sizes.servers, SERVER_WORK_S) as backends,
+        ):
+            service_changes = ServiceChanges(backends.addresses)
             await self.fleet.publish(service_changes.first())
-            with Tier(  # whose configurations name the first server only
+            with GatewayTier(  # whose configurations name the first server only
                 Path(folder),
                 "beside",
                 PROGRAM,
                 sizes.gateways,
                 UNUSED_ADDRESS,
-                listed(1, parties.addresses),
+                server_entries(1, backends.addresses),
                 sizes.aim_ms,
                 fleet=self._fleet_file,
             ) as tier:
                 await tier.ready()
-                await self._wait_for_servers(tier, parties)
-                blocks = await self._blocks(tier, parties, service_changes)
+                await self._wait_for_servers(tier, backends)
+                blocks = await self._blocks(tier, backends, service_changes)
                 tier.leave()
-            return self._figures(blocks, parties)
+            return self._figures(blocks, backends)
 
     def _fleet_file(self, index: int, addresses: list[str]) -> dict[str, Any]:
         relays = [text(self.fleet.relay_addresses[relay]) for relay in self.fleet.relays_of(index)]
@@ -136,31 +140,33 @@
         """RPCs a second, seconds, and the deadline in milliseconds."""
         return self.sizes.rate * self.sizes.gateways, seconds, 2 * self.sizes.aim_ms
 
-    async def _wait_for_servers(self, tier: Tier, parties: Parties) -> None:
+    async def _wait_for_servers(self, tier: GatewayTier, backends: Backends) -> None:
         """Calls each gateway until it sends to a server that its configuration does not name."""
         with trio.move_on_after(self.sizes.ready) as scope:
             for listen in tier.listens:
                 servers: set[int] = set()
                 while not servers - {0}:
-                    await play([listen], *self._load(self.sizes.warm), self.random.getrandbits(32))
-                    servers = {row.server for rows in parties.served().values() for row in rows}
+                    await run_block([listen], *self._load(self.sizes.warm), self.random.getrandbits(32))
+                    servers = {rpc.server for rpcs in backends.served().values() for rpc in rpcs}
         if scope.cancelled_caught:
             raise DrillProcessError(
                 f"the real gateways did not send to the announced servers within {self.sizes.ready:g} s"
             )
 
-    async def _blocks(self, tier: Tier, parties: Parties, service_changes: ServiceChanges) -> dict[str, list[Block]]:
+    async def _blocks(
+        self, tier: GatewayTier, backends: Backends, service_changes: ServiceChanges
+    ) -> dict[str, list[Block]]:
         sizes = self.sizes
-        kinds = (DIRECT, WITH, WITHOUT)
+        kinds = (DIRECT, WITH_CHANGES, WITHOUT_CHANGES)
         blocks: dict[str, list[Block]] = {kind: [] for kind in kinds}
         order = [kind for _ in range(sizes.rounds) for kind in self.random.sample(kinds, len(kinds))]
         for kind in order:
             async with trio.open_nursery() as nursery:
-                if kind == WITH:
+                if kind == WITH_CHANGES:
                     nursery.start_soon(self._publish, service_changes)
                 await trio.sleep(sizes.warm / 2)
-                targets = parties.addresses if kind == DIRECT else tier.listens
-                blocks[kind].append(await play(targets, *self._load(sizes.block), self.random.getrandbits(32)))
+                targets = backends.addresses if kind == DIRECT else tier.listens
+                blocks[kind].append(await run_block(targets, *self._load(sizes.block), self.random.getrandbits(32)))
                 nursery.cancel_scope.cancel()
             if self.failure is not None:
                 raise DrillProcessError(str(self.failure)) from self.failure
@@ -180,20 +186,22 @@
         except DrillProcessError as error:  # raised by `_blocks`, outside an exception group
             self.failure = error
 
-    def _figures(self, blocks: dict[str, list[Block]], parties: Parties) -> dict[str, Any]:
-        served = parties.served()
+    def _figures(self, blocks: dict[str, list[Block]], backends: Backends) -> dict[str, Any]:
+        served = backends.served()
         client: dict[str, Any] = {}
         for kind, of_kind in blocks.items():
-            rows = [row for block in of_kind for row in block.rows if row.status == "200"]
-            client[kind] = client_of(rows, served, kind)
-            client[kind]["answers"] = summed(block.answers for block in of_kind)
+            timings = [timing for block in of_kind for timing in block.timings if timing.status == "200"]
+            client[kind] = client_figures(timings, served, kind)
+            client[kind]["answers"] = sum_counts(block.answers for block in of_kind)
             client[kind]["sent late by the client"] = sum(block.behind for block in of_kind)
         direct = client[DIRECT]["beside the server"]
-        added = {kind: over(direct, client[kind]["beside the server"]) for kind in (WITH, WITHOUT)}
+        added = {
+            kind: added_over(direct, client[kind]["beside the server"]) for kind in (WITH_CHANGES, WITHOUT_CHANGES)
+        }
         ratio = {
-            quantile: round(added[WITH][quantile] / added[WITHOUT][quantile], 3)
+            quantile: round(added[WITH_CHANGES][quantile] / added[WITHOUT_CHANGES][quantile], 3)
             for quantile in ("p50_ms", "p99_ms")
-            if added[WITHOUT][quantile] > 0
+            if added[WITHOUT_CHANGES][quantile] > 0
         }
         return {
             "sizes": self.sizes._asdict(),
