--- a/oakfork/lab/scale/budget.py
+++ b/oakfork/lab/scale/budget.py
@@ -1,4 +1,4 @@
-"""The size the operators plan for, their budgets, what their table leaves open, and what the program does today.
+"""The planned size of the fleet, the budgets, the assumptions where those leave a choice, and the program's own bounds.
 
 Nothing here is measured; measures are stored in experiments/scale. Bytes are counted in thousands.
 """
@@ -7,11 +7,14 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-DAY, HOUR, MINUTE, MS = 86_400, 3_600, 60, 1_000  # seconds; milliseconds of one
+DAY_S = 86_400
+HOUR_S = 3_600
+MINUTE_S = 60
+MS_PER_S = 1_000
 
 
 class View(NamedTuple):
-    """How much of the fleet one gateway knows: that many servers, gateways, tenants and regions, itself among them."""
+    """How much of the fleet one gateway knows: so many servers, gateways (itself included), tenants and regions."""
 
     name: str
     servers: float
@@ -21,17 +24,17 @@
 
 
 class Assumption(NamedTuple):
-    """What the table leaves open: taken as a value, or as words where it is not one figure."""
+    """A choice that the budgets leave open: taken as a value, or described in words where it is not one figure."""
 
     name: str
     value: float | None
     taken: str
-    other: str  # the other reading, and where its outcome stands
+    other: str  # the other reading, and where its outcome is shown
 
 
 @dataclass(frozen=True)
 class Budget:
-    """The operators' table: the whole fleet, or one gateway where that is said."""
+    """The planned fleet and its budgets, of the whole fleet unless a comment names one gateway."""
 
     gateways: float = 2_700
     servers: float = 41_000
@@ -41,44 +44,47 @@
     requests: float = 320_000  # a second, at the peak
     routes: float = 58_000
     tenants: float = 59_000
-    added_ms: float = 4.9  # to a request ...
-    within: float = 0.99  # ... for that part of them
+    added_ms: float = 4.9  # to a request, for the share of requests that `within` gives
+    within: float = 0.99
     changes: float = 2_000  # of configuration, a day
     in_force: float = 16  # seconds, everywhere
     core: float = 0.011  # of a gateway's control
-    memory: float = 128e6  # bytes, likewise
-    traffic: float = 2e3  # bytes a second, likewise
+    memory: float = 128e6  # bytes, of a gateway's control
+    traffic: float = 2e3  # bytes a second, of a gateway's control
     machines: float = 12  # for control
     failed: float = 63  # machines, on an ordinary day
-    restarted: float = 2_500  # or replaced, likewise
-    apart: float = HOUR  # seconds for which regions lose each other
+    restarted: float = 2_500  # or replaced machines, on an ordinary day
+    partition_s: float = HOUR_S  # seconds for which regions lose each other
 
     @property
-    def asked(self) -> float:
+    def requests_per_gateway(self) -> float:
         """Requests a second of one gateway at the peak."""
         return self.requests / self.gateways
 
     @property
-    def beyond(self) -> float:
-        """The part of the requests that may take longer."""
+    def allowed_share(self) -> float:
+        """The share of the requests that may take longer."""
         return round(1 - self.within, 9)
 
     @property
     def all_services(self) -> View:
+        """A gateway that knows the whole fleet."""
         return View("all services", self.servers, self.gateways, self.tenants, self.regions)
 
     @property
     def own_region(self) -> View:
+        """A gateway that knows an even part of the fleet, its region's."""
         return View(
             "its region's", self.servers / self.regions, self.gateways / self.regions, self.tenants / self.regions, 1
         )
 
     @property
     def views(self) -> tuple[View, View]:
+        """Both views, in the order of the columns of a table."""
         return self.all_services, self.own_region
 
     def rows(self) -> list[tuple[str, list[tuple[str, float]]]]:
-        """The table by lines, for people."""
+        """The lines of the page's table of budgets: a name, and values with their units."""
         return [
             (
                 "fleet",
@@ -106,7 +112,7 @@
                 [
                     ("machines fail a day", self.failed),
                     ("restarted or replaced a day", self.restarted),
-                    ("s for which regions lose each other", self.apart),
+                    ("s for which regions lose each other", self.partition_s),
                 ],
             ),
         ]
@@ -178,8 +184,8 @@
 
 
 @dataclass(frozen=True)
-class Open:
-    """What the table leaves open, by name."""
+class Assumptions:
+    """All assumptions; those with a value are indexed by name."""
 
     rows: tuple[Assumption, ...] = field(default_factory=_assumptions)
 
@@ -188,25 +194,28 @@
 
 
 @dataclass(frozen=True)
-class Today:
-    """What the program does, where a figure rests on it; a test compares each with the code."""
+class ProgramBounds:
+    """Constants of the program on which figures rest; a test compares each with the code."""
 
-    row: float = 16  # servers that a gateway keeps to, or chooses from (decision/servers.py)
+    kept_servers: float = 16  # servers that a gateway keeps to, or chooses from (decision/servers.py)
     retry_s: float = 0.25  # between two asks to a silent owner (decision/quotas.py)
     silent_after: float = 2  # asks in a row without an answer (decision/quotas.py)
     wait_part: float = 0.1  # of the soft deadline, for an answer (decision/quotas.py)
     tries: float = 3  # of an ask, where the slice has spent or the plan has a ceiling (decision/quotas.py)
     watch_s: float = 1.0  # that a watch without news takes (sockets/discovery.py)
-    body: float = 64 * 1024  # bytes of an answer of discovery that are taken in at most (sockets/http_connection.py)
-    told_s: float = 6.0  # the longest way of a change of the list, whatever failed (sockets/discovery.py)
+    max_body: float = 64 * 1024  # bytes of an answer that the program accepts (sockets/http_connection.py)
+    change_delay_s: float = 6.0  # until a change of the list arrives at most, whatever failed (sockets/discovery.py)
 
 
-def sharing(view: View, row: float) -> float:
-    """Gateways that share a cold server where connections have a price: the count of Servers.told, with its root."""
-    each = row * view.gateways / view.servers
+def sharing_gateways(view: View, kept_servers: float) -> float:
+    """Gateways that share a cold server where connections have a price, as Servers.told computes them.
+
+    It adds the square root for the spread of a random count.
+    """
+    each = kept_servers * view.gateways / view.servers
     return min(view.gateways, int(each + math.sqrt(each)) + 1)
 
 
-def cold_budget(allowed: float) -> float:
-    """Requests that a cold server takes without a fall: N + 2 x root of N + 2, N what the settings allow it."""
+def cold_server_budget(allowed: float) -> float:
+    """Requests that a cold server takes without being overloaded: N + 2 * sqrt(N) + 2, where the settings allow N."""
     return allowed + 2 * math.sqrt(allowed) + 2
--- a/oakfork/lab/scale/capacity_control.py
+++ b/oakfork/lab/scale/capacity_control.py
@@ -1,69 +1,86 @@
-"""The tables of the control part as built (docs/control.md): what its plays at full size gave, beside the budget and
-beside what the smaller sizes foretell."""
+"""The tables of the control plane (docs/control.md): its runs at full size, beside the budget and beside predictions.
 
-from oakfork.lab.scale.budget import DAY, MS, Budget
-from oakfork.lab.scale.capacity_figures import WHOLE, Figure, Row, exact, plain
-from oakfork.lab.scale.capacity_roles import Sums
+The predictions are those of the line through the smaller sizes.
+"""
+
+from oakfork.lab.scale.budget import DAY_S, MS_PER_S, Budget
+from oakfork.lab.scale.capacity_figures import GIVEN_DIGITS, Figure, Row, exact, format_number
+from oakfork.lab.scale.capacity_roles import FleetFigures
 
 GROUP = "control"
 
 
 def measure(what: str) -> str:
+    """The name of a measure of the control plane."""
     return f"control by gateways: {what}"
 
 
-CAME, WENT = measure("bytes to all a second, at rest"), measure("bytes from all a second, at rest")
-CHANGE_CAME, CHANGE_WENT = measure("bytes to all for a change"), measure("bytes from all for a change")
-SPENT, SPENT_CHANGE = (
-    measure("processor seconds of all a second, at rest"),
-    measure("processor seconds of all for a change"),
-)
-SERVING, SERVING_CHANGE = (
-    measure("processor seconds of publisher and relays a second, at rest"),
-    measure("processor seconds of publisher and relays for a change"),
+RECEIVED_AT_REST = measure("bytes to all a second, at rest")
+SENT_AT_REST = measure("bytes from all a second, at rest")
+RECEIVED_FOR_CHANGE = measure("bytes to all for a change")
+SENT_FOR_CHANGE = measure("bytes from all for a change")
+GATEWAYS_AT_REST = measure("processor seconds of all a second, at rest")
+GATEWAYS_FOR_CHANGE = measure("processor seconds of all for a change")
+SERVING_AT_REST = measure("processor seconds of publisher and relays a second, at rest")
+SERVING_FOR_CHANGE = measure("processor seconds of publisher and relays for a change")
+LAST_GATEWAY_S = measure("seconds to everywhere, the last")
+MEDIAN_GATEWAY_S = measure("seconds to everywhere, the median")
+PREDICTED_MEASURES = (
+    RECEIVED_AT_REST,
+    SENT_AT_REST,
+    RECEIVED_FOR_CHANGE,
+    SENT_FOR_CHANGE,
+    GATEWAYS_AT_REST,
+    GATEWAYS_FOR_CHANGE,
+    SERVING_AT_REST,
+    SERVING_FOR_CHANGE,
+    LAST_GATEWAY_S,
+    MEDIAN_GATEWAY_S,
 )
-LAST, MEDIAN = measure("seconds to everywhere, the last"), measure("seconds to everywhere, the median")
-WHICH = "99 in 100"
-BURSTS = "zone gone", "zone back", "bunched"
+QUANTILE_NAME = "99 in 100"
+BURSTS = ("zone gone", "zone back", "bunched")
 
 
-def relayed(sums: Sums) -> list[Row]:
-    """What is measured of all gateways together is shared evenly."""
-    budget, store = sums.budget, sums.store
-    gateways, rate = budget.gateways, exact(budget.changes / DAY)
+def relayed_rows(fleet: FleetFigures) -> list[Row]:
+    """The rows of the runs at the planned size; what is measured of all gateways together is divided evenly."""
+    budget = fleet.budget
+    store = fleet.store
+    gateways = budget.gateways
+    rate = exact(budget.changes / DAY_S)
 
     def each(rest: str, change: str) -> Figure:
         return (store.at(rest, gateways) + store.at(change, gateways) * rate) / exact(gateways)
 
-    def play(*path: str) -> Figure:
-        return store.part(GROUP, "plays", str(gateways), *path)
+    def stored(*path: str) -> Figure:
+        return store.stored_figure(GROUP, "plays", str(gateways), *path)
 
-    down, up = each(CAME, CHANGE_CAME), each(WENT, CHANGE_WENT)
+    received = each(RECEIVED_AT_REST, RECEIVED_FOR_CHANGE)
+    sent = each(SENT_AT_REST, SENT_FOR_CHANGE)
     rows = [
-        Row("bytes a second that a gateway gets, the mean day", [down], budget.traffic, "a beat each two seconds"),
-        Row("... that it sends", [up], budget.traffic, "an Ack for each frame of the state"),
+        Row("bytes a second that a gateway gets, the mean day", [received], budget.traffic, "a beat each two seconds"),
+        Row("... that it sends", [sent], budget.traffic, "an Ack for each frame of the state"),
         Row(
             "part of a core of a gateway, the mean day",
-            [each(SPENT, SPENT_CHANGE)],
+            [each(GATEWAYS_AT_REST, GATEWAYS_FOR_CHANGE)],
             budget.core,
             "hollow ones, many in a process, with their own reports",
         ),
         Row(
             "part of a core of publisher and relays together, the mean day",
-            [store.at(SERVING, gateways) + store.at(SERVING_CHANGE, gateways) * rate],
+            [store.at(SERVING_AT_REST, gateways) + store.at(SERVING_FOR_CHANGE, gateways) * rate],
             budget.machines,
             "oakfork/control/follower_server.py; the budget is a core of each machine set aside",
         ),
         Row(
             "s from acknowledged to in force, the last gateway",
-            [store.at(LAST, gateways)],
+            [store.at(LAST_GATEWAY_S, gateways)],
             budget.in_force,
             "single changes, one machine for all processes",
         ),
-        Row("... the median", [store.at(MEDIAN, gateways)], budget.in_force, "likewise"),
+        Row("... the median", [store.at(MEDIAN_GATEWAY_S, gateways)], budget.in_force, "likewise"),
         Row(
             "... the last, with one relay gone",
-            [play("one relay gone", "last_ms") / MS],
+            [stored("one relay gone", "last_ms") / MS_PER_S],
             budget.in_force,
             "its gateways turn to another relay",
         ),
@@ -72,45 +89,49 @@
         rows += [
             Row(
                 f"{name}: s to in force, the last",
-                [play(name, "spread", "last_ms") / MS],
+                [stored(name, "spread", "last_ms") / MS_PER_S],
                 budget.in_force,
                 "merged into as few frames as hold them",
             ),
             Row(
                 "... bytes a second to and from a gateway while it lasts",
-                [play(name, "bytes_a_second_a_gateway")],
+                [stored(name, "bytes_a_second_a_gateway")],
                 budget.traffic,
                 "frames by zlib",
             ),
-            Row("... seconds that it lasts", [play(name, "seconds")], None, "one machine for all processes"),
+            Row("... seconds that it lasts", [stored(name, "seconds")], None, "one machine for all processes"),
         ]
     rows += [
         Row(
             "cold gateways, a zone's: ready, of those that started",
-            [play("cold", "ready") / play("cold", "gateways")],
+            [stored("cold", "ready") / stored("cold", "gateways")],
             None,
             "ranges, paced by each relay",
         ),
-        Row("... s until the last of those that are", [play("cold", "last_s")], budget.in_force, "likewise"),
-        Row("... one alone, s", [play("cold", "one_alone_s")], budget.in_force, "likewise"),
+        Row("... s until the last of those that are", [stored("cold", "last_s")], budget.in_force, "likewise"),
+        Row("... one alone, s", [stored("cold", "one_alone_s")], budget.in_force, "likewise"),
         Row(
             "bytes of memory of a process with the state, one follower",
-            [play("cold", "memory_bytes_with_the_state")],
+            [stored("cold", "memory_bytes_with_the_state")],
             budget.memory,
             "oakfork/control/state.py; without the rest of a gateway",
         ),
-        Row("... with nothing", [play("cold", "memory_bytes_with_nothing")], budget.memory, "the interpreter, imports"),
-        Row("bytes of memory of a relay, the largest", [play("relay_memory_bytes")], None, "likewise"),
         Row(
-            f"ms added to a request at real gateways beside it, with changes, {WHICH}",
-            [play("beside", "added", "with changes", "p99_ms")],
+            "... with nothing", [stored("cold", "memory_bytes_with_nothing")], budget.memory, "the interpreter, imports"
+        ),
+        Row("bytes of memory of a relay, the largest", [stored("relay_memory_bytes")], None, "likewise"),
+        Row(
+            f"ms added to a request at real gateways beside it, with changes, {QUANTILE_NAME}",
+            [stored("beside", "added", "with changes", "p99_ms")],
             budget.added_ms,
             "one machine for all processes",
         ),
-        Row("... without changes", [play("beside", "added", "without changes", "p99_ms")], budget.added_ms, "likewise"),
+        Row(
+            "... without changes", [stored("beside", "added", "without changes", "p99_ms")], budget.added_ms, "likewise"
+        ),
         Row(
             "... with over without",
-            [play("beside", "with changes over without", "p99_ms")],
+            [stored("beside", "with changes over without", "p99_ms")],
             None,
             "in one run, blocks by turns",
         ),
@@ -118,16 +139,16 @@
     return rows
 
 
-def agreed(sums: Sums) -> list[Row]:
-    """Whether the slopes hold up to the planned size: what the smaller sizes foretell, and what was played."""
+def agreement_rows(fleet: FleetFigures) -> list[Row]:
+    """Rows that show whether the slopes hold up to the planned size: predicted there, measured, and their ratio."""
     rows = []
-    for name in (CAME, WENT, CHANGE_CAME, CHANGE_WENT, SPENT, SPENT_CHANGE, SERVING, SERVING_CHANGE, LAST, MEDIAN):
-        foretold, played = sums.store.foretold(name)
-        ratio = (played / foretold).value  # of the values alone: a line's interval that holds zero says nothing here
+    for name in PREDICTED_MEASURES:
+        predicted, measured = fleet.store.predicted(name)
+        ratio = (measured / predicted).value  # without interval, which is meaningless where the line's contains zero
         rows.append(
             Row(
                 name.removeprefix(measure("")),
-                [foretold, played, Figure(ratio, ratio, ratio, (name,))],
+                [predicted, measured, Figure(ratio, ratio, ratio, (name,))],
                 None,
                 "one machine for all processes",
             )
@@ -139,4 +160,5 @@
 
 
 def gateways_of(budget: Budget) -> str:
-    return f"at {plain(budget.gateways, WHOLE)} gateways"
+    """The head of the column of the planned size."""
+    return f"at {format_number(budget.gateways, GIVEN_DIGITS)} gateways"
--- a/oakfork/lab/scale/capacity_roles.py
+++ b/oakfork/lab/scale/capacity_roles.py
@@ -1,97 +1,126 @@
-"""The tables of the roles: what each holds, sends and spends at the planned size."""
+"""The tables of the roles of a gateway: what each holds, sends and spends at the planned size."""
 
 from typing import Callable
 
-from oakfork.lab.scale.budget import DAY, MINUTE, MS, Budget, Open, Today, View
+from oakfork.lab.scale.budget import DAY_S, MINUTE_S, MS_PER_S, Assumptions, Budget, ProgramBounds, View
 from oakfork.lab.scale.capacity_figures import Figure, Row, Store, exact
 
-OWN, ASKS, SERVED = "rpc at its owner", "rpc that asks", "ask served"
-CHANGE, LIST, MEMORY = "change of one server", "whole list", "process by servers: bytes of memory"
-PEERS, BUCKETS = "process by gateways: bytes of memory", "memory of the module by customers: bytes"
-SILENT_START, START = "start by gateways, none replies", "start by gateways, all reply"
-REST, ASKING, NEWS = "rest by gateways", "asks by rate", "changes by servers changed: bytes"
-HEADS = ", with headers"  # of IPv4 and UDP
-LISTED, READY, SPENT = (
-    "whole list by servers: bytes",
-    "process by servers: seconds to ready",
-    "process by servers: processor seconds to ready",
-)
-VOTERS = "leases by gateways: frames a second of all voters"
-WATCHERS = "leases by gateways: frames a second of a watcher"
-VOTER_SENDS = "leases by gateways: bytes a second sent by a voter"
-VOTER_GETS = "leases by gateways: bytes a second received by a voter"
-VOTER_SPENDS = "leases by gateways: processor seconds of a voter a second"
-VOTES = "leases by gateways: bytes of state of all voters"
+# Names of measures, or of what they measure
+RPC_AT_OWNER = "rpc at its owner"
+RPC_THAT_ASKS = "rpc that asks"
+ASK_SERVED = "ask served"
+LIST_CHANGE = "change of one server"
+WHOLE_LIST = "whole list"
+MEMORY_BY_SERVERS = "process by servers: bytes of memory"
+MEMORY_BY_GATEWAYS = "process by gateways: bytes of memory"
+MEMORY_BY_CUSTOMERS = "memory of the module by customers: bytes"
+START_WITHOUT_REPLIES = "start by gateways, none replies"
+START_WITH_REPLIES = "start by gateways, all reply"
+AT_REST = "rest by gateways"
+ASKS_BY_RATE = "asks by rate"
+CHANGE_BYTES = "changes by servers changed: bytes"
+WITH_HEADERS = ", with headers"  # of IPv4 and UDP
+LIST_BYTES = "whole list by servers: bytes"
+SECONDS_TO_READY = "process by servers: seconds to ready"
+PROCESSOR_TO_READY = "process by servers: processor seconds to ready"
+VOTER_FRAMES = "leases by gateways: frames a second of all voters"
+WATCHER_FRAMES = "leases by gateways: frames a second of a watcher"
+VOTER_BYTES_SENT = "leases by gateways: bytes a second sent by a voter"
+VOTER_BYTES_RECEIVED = "leases by gateways: bytes a second received by a voter"
+VOTER_PROCESSOR = "leases by gateways: processor seconds of a voter a second"
+VOTER_STATE_BYTES = "leases by gateways: bytes of state of all voters"
 
 
 def seconds(what: str, by: str) -> str:
+    """The name of a measure of the decision module's processor time."""
     return f"{what} by {by}: seconds"
 
 
 def in_bytes(what: str) -> str:
-    """At a start."""
-    return f"{what}: bytes{HEADS}"
+    """The name of a measure of the bytes of a start, with headers."""
+    return f"{what}: bytes{WITH_HEADERS}"
 
 
 def bytes_a_second(what: str, way: str = "") -> str:
-    """At rest, or of asks: " sent" or " received"."""
-    return f"{what}: bytes a second{way}{HEADS}"
+    """The name of a measure of bytes a second, with headers: at rest, or of asks (" sent" or " received")."""
+    return f"{what}: bytes a second{way}{WITH_HEADERS}"
 
 
-class Sums:
-    """Figures that several tables share."""
+class FleetFigures:
+    """Figures that several tables share, computed from the store, the budget and the assumptions."""
 
-    def __init__(self, store: Store, budget: Budget, unknown: Open, today: Today) -> None:
-        self.store, self.budget, self.open, self.today = store, budget, unknown, today
+    def __init__(self, store: Store, budget: Budget, assumptions: Assumptions, bounds: ProgramBounds) -> None:
+        self.store = store
+        self.budget = budget
+        self.assumptions = assumptions
+        self.bounds = bounds
 
-    def both(self, act: Callable[[View], Figure]) -> list[Figure]:
-        return [act(view) for view in self.budget.views]
+    def for_views(self, figure: Callable[[View], Figure]) -> list[Figure]:
+        """A figure for each view, in the order of the columns."""
+        return [figure(view) for view in self.budget.views]
 
-    def foreign(self, view: View) -> float:
-        """The part of a gateway's RPCs whose owner is another."""
+    def foreign_share(self, view: View) -> float:
+        """The share of a gateway's RPCs whose owner is another gateway."""
         return 1 - 1 / view.gateways
 
-    def asks(self, view: View) -> float:
+    def asks_per_s(self, view: View) -> float:
         """Asks a second that one gateway sends at the peak; it serves as many."""
-        return self.budget.asked * self.foreign(view)
+        return self.budget.requests_per_gateway * self.foreign_share(view)
 
-    def an_ask(self, view: View) -> Figure:
+    def ask_cost(self, view: View) -> Figure:
         """Processor seconds of the module for one ask sent and one served."""
         at = self.store.at
-        sent = at(seconds(ASKS, "peers"), view.gateways) - at(seconds(OWN, "peers"), view.gateways)
-        return sent + at(seconds(SERVED, "peers"), view.gateways)
+        sent = at(seconds(RPC_THAT_ASKS, "peers"), view.gateways) - at(seconds(RPC_AT_OWNER, "peers"), view.gateways)
+        return sent + at(seconds(ASK_SERVED, "peers"), view.gateways)
 
-    def stall(self, view: View) -> Figure:
-        return self.store.at(seconds(CHANGE, "servers"), view.servers)
+    def stall_seconds(self, view: View) -> Figure:
+        """Seconds for which a change of one server stalls the gateway."""
+        return self.store.at(seconds(LIST_CHANGE, "servers"), view.servers)
 
     def list_changes(self, view: View) -> Figure:
-        """Changes of the list of servers, a day, of the part that a gateway knows."""
-        names = "list changes of a restart", "list changes of a failure"
-        each, fails = (self.open[name] for name in names)
-        return exact(
-            (self.budget.restarted * each + self.budget.failed * fails) * view.servers / self.budget.servers, *names
+        """Changes a day of the list of servers, for the part of the list that a gateway knows."""
+        names = ("list changes of a restart", "list changes of a failure")
+        of_restart, of_failure = (self.assumptions[name] for name in names)
+        changes = self.budget.restarted * of_restart + self.budget.failed * of_failure
+        return exact(changes * view.servers / self.budget.servers, *names)
+
+    def growing_memory(self, view: View) -> Figure:
+        """Bytes of memory that grow with the fleet, where every tenant has a bucket at this gateway."""
+        growth = self.store.growth
+        return (
+            growth(MEMORY_BY_SERVERS, view.servers)
+            + growth(MEMORY_BY_GATEWAYS, view.gateways)
+            + growth(MEMORY_BY_CUSTOMERS, view.tenants)
         )
 
-    def grows(self, view: View) -> Figure:
-        """Bytes that grow with the fleet, every tenant with a bucket here."""
-        grown = self.store.grown
-        return grown(MEMORY, view.servers) + grown(PEERS, view.gateways) + grown(BUCKETS, view.tenants)
-
     def memory(self, view: View) -> Figure:
-        grown = self.store.grown
-        return self.store.at(MEMORY, view.servers) + grown(PEERS, view.gateways) + grown(BUCKETS, view.tenants)
+        """Bytes of memory of the whole process, where every tenant has a bucket at this gateway."""
+        growth = self.store.growth
+        return (
+            self.store.at(MEMORY_BY_SERVERS, view.servers)
+            + growth(MEMORY_BY_GATEWAYS, view.gateways)
+            + growth(MEMORY_BY_CUSTOMERS, view.tenants)
+        )
 
-    def a_change(self) -> Figure:
-        return self.store.at(NEWS, 1)
+    def change_bytes(self) -> Figure:
+        """Bytes of an answer of discovery that has one changed server."""
+        return self.store.at(CHANGE_BYTES, 1)
 
 
-def path(sums: Sums) -> list[Row]:
+def request_path_rows(fleet: FleetFigures) -> list[Row]:
     """A gateway on the path of requests."""
-    budget, at, both = sums.budget, sums.store.at, sums.both
-    own = both(lambda view: at(seconds(OWN, "servers"), view.servers) * MS)
-    asks = both(lambda view: at(seconds(ASKS, "peers"), view.gateways) * MS)
+    budget = fleet.budget
+    at = fleet.store.at
+    both = fleet.for_views
+    own = both(lambda view: at(seconds(RPC_AT_OWNER, "servers"), view.servers) * MS_PER_S)
+    asks = both(lambda view: at(seconds(RPC_THAT_ASKS, "peers"), view.gateways) * MS_PER_S)
     return [
-        Row("requests a second at the peak", both(lambda view: exact(budget.asked)), None, "spread by the clients"),
+        Row(
+            "requests a second at the peak",
+            both(lambda view: exact(budget.requests_per_gateway)),
+            None,
+            "spread by the clients",
+        ),
         Row(
             "state: servers",
             both(lambda view: exact(view.servers)),
@@ -109,30 +138,32 @@
         Row(
             "part of a core for deciding, at the peak",
             both(
-                lambda view: at(seconds(OWN, "servers"), view.servers) * (budget.asked - sums.asks(view))
-                + at(seconds(ASKS, "peers"), view.gateways) * sums.asks(view)
+                lambda view: at(seconds(RPC_AT_OWNER, "servers"), view.servers)
+                * (budget.requests_per_gateway - fleet.asks_per_s(view))
+                + at(seconds(RPC_THAT_ASKS, "peers"), view.gateways) * fleet.asks_per_s(view)
             ),
             None,
             "the module alone; sockets and HTTP: the table of time added",
         ),
         Row(
             "frames a second sent, asks and answers",
-            both(lambda view: at(f"{ASKING}: frames a second sent", sums.asks(view))),
+            both(lambda view: at(f"{ASKS_BY_RATE}: frames a second sent", fleet.asks_per_s(view))),
             None,
             "coalesced, paced: decision/peer_links.py",
         ),
         Row(
             "memory, the whole process, every tenant with a bucket",
-            both(sums.memory),
+            both(fleet.memory),
             budget.memory,
             "tables by server, gateway and bucket; full buckets are dropped",
         ),
     ]
 
 
-def owner(sums: Sums) -> list[Row]:
+def owner_rows(fleet: FleetFigures) -> list[Row]:
     """A gateway as the owner of its part of the tenants."""
-    budget, both = sums.budget, sums.both
+    budget = fleet.budget
+    both = fleet.for_views
     return [
         Row(
             "state: tenants that it owns",
@@ -141,130 +172,136 @@
             "a hash over the gateways, no table",
         ),
         Row(
-            "asks served a second at the peak", both(lambda view: exact(sums.asks(view))), None, "one serial step each"
+            "asks served a second at the peak",
+            both(lambda view: exact(fleet.asks_per_s(view))),
+            None,
+            "one serial step each",
         ),
         Row(
             "part of a core for asks served",
-            both(lambda view: sums.store.at(seconds(SERVED, "peers"), view.gateways) * sums.asks(view)),
+            both(lambda view: fleet.store.at(seconds(ASK_SERVED, "peers"), view.gateways) * fleet.asks_per_s(view)),
             budget.core,
             "decision/quotas.py; counts only where asks are control",
         ),
         Row(
             "bytes a second received, asks and answers",
-            both(lambda view: sums.store.at(bytes_a_second(ASKING, " received"), sums.asks(view))),
+            both(lambda view: fleet.store.at(bytes_a_second(ASKS_BY_RATE, " received"), fleet.asks_per_s(view))),
             budget.traffic,
             "likewise",
         ),
         Row(
             "bytes of memory for the buckets it owns",
-            both(lambda view: sums.store.slope(BUCKETS) * (view.tenants / view.gateways)),
+            both(lambda view: fleet.store.slope(MEMORY_BY_CUSTOMERS) * (view.tenants / view.gateways)),
             budget.memory,
             "dropped when full",
         ),
         Row(
             "bytes of memory, a bucket or slice for every tenant",
-            both(lambda view: sums.store.grown(BUCKETS, view.tenants)),
+            both(lambda view: fleet.store.growth(MEMORY_BY_CUSTOMERS, view.tenants)),
             budget.memory,
             "as it is while owners are silent",
         ),
     ]
 
 
-def control(sums: Sums) -> list[Row]:
-    """The control part of a gateway: the list of servers, the others, its start."""
-    budget, store, both = sums.budget, sums.store, sums.both
+def control_rows(fleet: FleetFigures) -> list[Row]:
+    """The control of a gateway: the list of servers, the other gateways, its start."""
+    budget = fleet.budget
+    store = fleet.store
+    both = fleet.for_views
     return [
-        Row("changes of its list a day", both(sums.list_changes), None, "watches: sockets/discovery.py"),
+        Row("changes of its list a day", both(fleet.list_changes), None, "watches: sockets/discovery.py"),
         Row(
             "bytes a second of changes, the mean day",
-            both(lambda view: sums.list_changes(view) * sums.a_change() / DAY),
+            both(lambda view: fleet.list_changes(view) * fleet.change_bytes() / DAY_S),
             budget.traffic,
             "each watch brings what is new",
         ),
         Row(
             "bytes a second of watches without news",
-            both(lambda view: store.at(NEWS, 0) / sums.today.watch_s),
+            both(lambda view: store.at(CHANGE_BYTES, 0) / fleet.bounds.watch_s),
             budget.traffic,
             "one a second, its answer alone, by the line; to an agent on its machine it is no traffic",
         ),
         Row(
             "ms for which a change of one server stalls the gateway",
-            both(lambda view: sums.stall(view) * MS),
+            both(lambda view: fleet.stall_seconds(view) * MS_PER_S),
             budget.added_ms,
             "Servers.told looks at what the change names and at the few that any change may concern",
         ),
         Row(
             "part of a core for changes, the mean day",
-            both(lambda view: sums.stall(view) * sums.list_changes(view) / DAY),
+            both(lambda view: fleet.stall_seconds(view) * fleet.list_changes(view) / DAY_S),
             budget.core,
             "likewise",
         ),
         Row(
             "s until a change of the list is told, at most",
-            both(lambda view: exact(sums.today.told_s)),
+            both(lambda view: exact(fleet.bounds.change_delay_s)),
             budget.in_force,
             "whatever call failed before: docs/design.md",
         ),
         Row(
             "bytes a second at rest, to other gateways",
-            both(lambda view: store.at(bytes_a_second(REST), view.gateways)),
+            both(lambda view: store.at(bytes_a_second(AT_REST), view.gateways)),
             budget.traffic,
             "nothing is kept up between gateways that have heard each other",
         ),
         Row(
             "bytes a second in the first minute, all reply",
-            both(lambda view: store.at(in_bytes(START), view.gateways) / MINUTE),
+            both(lambda view: store.at(in_bytes(START_WITH_REPLIES), view.gateways) / MINUTE_S),
             budget.traffic,
             "greetings: decision/peer_links.py",
         ),
         Row(
             "... none replies",
-            both(lambda view: store.at(in_bytes(SILENT_START), view.gateways) / MINUTE),
+            both(lambda view: store.at(in_bytes(START_WITHOUT_REPLIES), view.gateways) / MINUTE_S),
             budget.traffic,
             "likewise, repeated",
         ),
         Row(
             "bytes of the whole list; the budget is the program's own bound of an answer",
-            both(lambda view: store.at(LISTED, view.servers)),
-            sums.today.body,
+            both(lambda view: store.at(LIST_BYTES, view.servers)),
+            fleet.bounds.max_body,
             "one call; a longer answer is refused, and nothing is told any more: sockets/http_connection.py",
         ),
         Row(
             "... a second, over the first minute",
-            both(lambda view: store.at(LISTED, view.servers) / MINUTE),
+            both(lambda view: store.at(LIST_BYTES, view.servers) / MINUTE_S),
             budget.traffic,
             "likewise",
         ),
         Row(
             "ms of processor for a whole list",
-            both(lambda view: store.at(seconds(LIST, "servers"), view.servers) * MS),
+            both(lambda view: store.at(seconds(WHOLE_LIST, "servers"), view.servers) * MS_PER_S),
             budget.added_ms,
             "one event, one stall",
         ),
         Row(
             "s from the start of the process until it is ready",
-            both(lambda view: store.at(READY, view.servers)),
+            both(lambda view: store.at(SECONDS_TO_READY, view.servers)),
             budget.in_force,
             "the only way of a change of routes, tenants, services or tier into its decisions",
         ),
         Row(
             "part of a core, each change of configuration a restart",
-            both(lambda view: store.at(SPENT, view.servers) * budget.changes / DAY),
+            both(lambda view: store.at(PROCESSOR_TO_READY, view.servers) * budget.changes / DAY_S),
             budget.core,
             "likewise",
         ),
         Row(
             "memory that grows with the fleet",
-            both(sums.grows),
+            both(fleet.growing_memory),
             budget.memory,
             "the process less its smallest measured",
         ),
     ]
 
 
-def machines(sums: Sums) -> list[Row]:
-    """The machines set aside: what is sent if each serves an even part of the gateways."""
-    budget, store = sums.budget, sums.store
+def control_machine_rows(fleet: FleetFigures) -> list[Row]:
+    """The machines set aside for control: what each sends if it serves an even part of the gateways."""
+    budget = fleet.budget
+    store = fleet.store
     each = budget.gateways / budget.machines
     parts = [(view, view.servers / budget.servers) for view in budget.views]
     none = "discovery is the operators'; a publisher and relays of the control part could run there: docs/control.md"
@@ -278,109 +315,119 @@
         Row("watches held open on each, if they serve all gateways", [exact(each) for _ in parts], None, none),
         Row(
             "bytes sent by each for a change of one server, to all that know it",
-            [sums.a_change() * each * part for _, part in parts],
+            [fleet.change_bytes() * each * part for _, part in parts],
             None,
             none,
         ),
         Row(
             "bytes a second, the mean day",
-            [sums.a_change() * sums.list_changes(view) * each / DAY for view, _ in parts],
+            [fleet.change_bytes() * fleet.list_changes(view) * each / DAY_S for view, _ in parts],
             None,
             none,
         ),
         Row(
             "bytes sent by each when all gateways start",
-            [store.at(LISTED, view.servers) * each for view, _ in parts],
+            [store.at(LIST_BYTES, view.servers) * each for view, _ in parts],
             None,
             none,
         ),
     ]
 
 
-def voters(sums: Sums) -> list[Row]:
-    """Leases' voters."""
-    both, at, budget = sums.both, sums.store.at, sums.budget
+def voter_rows(fleet: FleetFigures) -> list[Row]:
+    """The voters of leases."""
+    both = fleet.for_views
+    at = fleet.store.at
+    budget = fleet.budget
     return [
         Row(
             "frames a second of all voters together",
-            both(lambda view: at(VOTERS, view.gateways)),
+            both(lambda view: at(VOTER_FRAMES, view.gateways)),
             None,
             "three voters contend among themselves: docs/leases.md",
         ),
         Row(
             "frames a second of a watcher",
-            both(lambda view: at(WATCHERS, view.gateways)),
+            both(lambda view: at(WATCHER_FRAMES, view.gateways)),
             None,
             "a gateway that is no voter neither sends nor gets any",
         ),
         Row(
             "bytes of state of all voters together",
-            both(lambda view: at(VOTES, view.gateways)),
+            both(lambda view: at(VOTER_STATE_BYTES, view.gateways)),
             None,
             "one vote and one contender a task",
         ),
         Row(
             "bytes a second that a voter sends",
-            both(lambda view: at(VOTER_SENDS, view.gateways)),
+            both(lambda view: at(VOTER_BYTES_SENT, view.gateways)),
             budget.traffic,
             "one task; each more costs as much again: oakfork/leases/voter.py",
         ),
-        Row("... that it gets", both(lambda view: at(VOTER_GETS, view.gateways)), budget.traffic, "likewise"),
+        Row("... that it gets", both(lambda view: at(VOTER_BYTES_RECEIVED, view.gateways)), budget.traffic, "likewise"),
         Row(
             "part of a core of a voter",
-            both(lambda view: at(VOTER_SPENDS, view.gateways)),
+            both(lambda view: at(VOTER_PROCESSOR, view.gateways)),
             budget.core,
             "frames and machines, without the system's calls",
         ),
     ]
 
 
-def asks(sums: Sums) -> list[Row]:
-    """Both readings of an ask, for a gateway that knows all and for one that knows its region."""
-    budget, store = sums.budget, sums.store
+def ask_rows(fleet: FleetFigures) -> list[Row]:
+    """Both readings of the budget, with asks counted as control and without."""
+    budget = fleet.budget
+    store = fleet.store
 
     def sent(view: View, way: str) -> Figure:
-        return store.at(bytes_a_second(ASKING, f" {way}"), sums.asks(view))
+        return store.at(bytes_a_second(ASKS_BY_RATE, f" {way}"), fleet.asks_per_s(view))
 
     def resting(view: View) -> Figure:
-        return store.at(bytes_a_second(REST), view.gateways)
+        return store.at(bytes_a_second(AT_REST), view.gateways)
 
     def changes(view: View) -> Figure:
-        return sums.stall(view) * sums.list_changes(view) / DAY
+        return fleet.stall_seconds(view) * fleet.list_changes(view) / DAY_S
 
-    rows = [Row("asks a second sent, and as many served, at the peak", sums.both(lambda view: exact(sums.asks(view))))]
+    rows = [
+        Row(
+            "asks a second sent, and as many served, at the peak",
+            fleet.for_views(lambda view: exact(fleet.asks_per_s(view))),
+        )
+    ]
     rows += [
-        Row("asks are control: bytes a second sent", sums.both(lambda view: sent(view, "sent")), budget.traffic),
+        Row("asks are control: bytes a second sent", fleet.for_views(lambda view: sent(view, "sent")), budget.traffic),
         Row(
-            "... sent and received", sums.both(lambda view: sent(view, "sent") + sent(view, "received")), budget.traffic
+            "... sent and received",
+            fleet.for_views(lambda view: sent(view, "sent") + sent(view, "received")),
+            budget.traffic,
         ),
         Row(
             "... part of a core, with the changes of the mean day",
-            sums.both(lambda view: sums.an_ask(view) * sums.asks(view) + changes(view)),
+            fleet.for_views(lambda view: fleet.ask_cost(view) * fleet.asks_per_s(view) + changes(view)),
             budget.core,
         ),
         Row(
             "... bytes a second sent, of payload alone",
-            sums.both(lambda view: store.at(f"{ASKING}: bytes a second sent", sums.asks(view))),
+            fleet.for_views(lambda view: store.at(f"{ASKS_BY_RATE}: bytes a second sent", fleet.asks_per_s(view))),
             budget.traffic,
         ),
         Row(
             "frames a second received; the budget is what the run's settings let a gateway take in",
-            sums.both(lambda view: store.at(f"{ASKING}: frames a second received", sums.asks(view))),
-            store.part("frames", "mail_per_s").value,
+            fleet.for_views(lambda view: store.at(f"{ASKS_BY_RATE}: frames a second received", fleet.asks_per_s(view))),
+            store.stored_figure("frames", "mail_per_s").value,
             "frames beyond it are lost",
         ),
-        Row("asks are not: bytes a second sent", sums.both(resting), budget.traffic),
-        Row("... part of a core, the changes of the mean day", sums.both(changes), budget.core),
+        Row("asks are not: bytes a second sent", fleet.for_views(resting), budget.traffic),
+        Row("... part of a core, the changes of the mean day", fleet.for_views(changes), budget.core),
         Row(
             "microseconds of processor for one ask sent and one served",
-            sums.both(lambda view: sums.an_ask(view) * MS * MS),
+            fleet.for_views(lambda view: fleet.ask_cost(view) * MS_PER_S * MS_PER_S),
         ),
         Row(
             "asks a second at which the budget of bytes sent is spent",
-            [store.crosses(bytes_a_second(ASKING, " sent"), budget.traffic)] * len(budget.views),
+            [store.crosses(bytes_a_second(ASKS_BY_RATE, " sent"), budget.traffic)] * len(budget.views),
             None,
         ),
-        Row("... the budget of a core", sums.both(lambda view: exact(budget.core) / sums.an_ask(view)), None),
+        Row("... the budget of a core", fleet.for_views(lambda view: exact(budget.core) / fleet.ask_cost(view)), None),
     ]
     return [row._replace(why=row.why or "decision/quotas.py, decision/peer_links.py") for row in rows]
--- a/oakfork/lab/scale/capacity_tables.py
+++ b/oakfork/lab/scale/capacity_tables.py
@@ -1,5 +1,7 @@
-"""The tables of docs/CAPACITY.md: a pure function of the stored measures and of budget.py, between the page's
-markers."""
+"""Writes the tables of docs/CAPACITY.md between the page's markers.
+
+They depend on the stored measures and on budget.py only.
+"""
 
 import re
 from pathlib import Path
@@ -7,119 +9,148 @@
 
 from oakfork.errors import MeasurementError
 from oakfork.lab.scale import capacity_control, capacity_days as days, capacity_gaps, capacity_roles as roles
-from oakfork.lab.scale.budget import Budget, Open, Today
-from oakfork.lab.scale.capacity_figures import NOT_MEASURED, SURE, WHOLE, Row, Store, markdown, plain, shown
-from oakfork.lab.scale.capacity_roles import Sums
+from oakfork.lab.scale.budget import Assumptions, Budget, ProgramBounds
+from oakfork.lab.scale.capacity_figures import (
+    DERIVED_DIGITS,
+    GIVEN_DIGITS,
+    NOT_MEASURED,
+    Row,
+    Store,
+    format_number,
+    markdown_table,
+    render_rows,
+)
+from oakfork.lab.scale.capacity_roles import FleetFigures
 
 MARKED = re.compile(r"^<!-- table: (?P<name>[a-z ]+) -->\n(?P<body>.*?)^<!-- end of table -->$", re.M | re.S)
 MARKER = re.compile(r"^<!-- (?:table: .*|end of table) -->$", re.M)
-BY_VIEW: dict[str, Callable[[Sums], list[Row]]] = {
-    "path": roles.path,
-    "owner": roles.owner,
-    "control": roles.control,
-    "machines": roles.machines,
-    "voters": roles.voters,
-    "asks": roles.asks,
-    "peak": days.peak,
-    "bursts": days.bursts,
-    "zone": days.zone,
-    "rollout": days.rollout,
-    "bunched": days.bunched,
+BY_VIEW: dict[str, Callable[[FleetFigures], list[Row]]] = {
+    "path": roles.request_path_rows,
+    "owner": roles.owner_rows,
+    "control": roles.control_rows,
+    "machines": roles.control_machine_rows,
+    "voters": roles.voter_rows,
+    "asks": roles.ask_rows,
+    "peak": days.peak_rows,
+    "bursts": days.burst_rows,
+    "zone": days.zone_rows,
+    "rollout": days.rollout_rows,
+    "bunched": days.bunched_rows,
 }
 
 
-def _budget(sums: Sums) -> str:
+def _budget(fleet: FleetFigures) -> str:
     rows = [
-        [name, "; ".join(f"{plain(value, WHOLE)} {what}" for what, value in told)] for name, told in sums.budget.rows()
+        [name, "; ".join(f"{format_number(value, GIVEN_DIGITS)} {what}" for what, value in values)]
+        for name, values in fleet.budget.rows()
     ]
-    return markdown(["", "the operators' table"], rows)
+    return markdown_table(["", "the operators' table"], rows)
 
 
-def _assumptions(sums: Sums) -> str:
+def _assumptions(fleet: FleetFigures) -> str:
     rows = [
-        [row.name, plain(row.value, SURE) if row.value is not None else "", row.taken, row.other]
-        for row in sums.open.rows
+        [row.name, format_number(row.value, DERIVED_DIGITS) if row.value is not None else "", row.taken, row.other]
+        for row in fleet.assumptions.rows
     ]
-    return markdown(["assumption", "figure", "taken here", "the other reading"], rows)
+    return markdown_table(["assumption", "figure", "taken here", "the other reading"], rows)
+
 
+SLOPES_HEAD = ["measure", "one more costs", "at none", "residual", "growth", "sizes", "held", "measured again by"]
 
-def _slopes(sums: Sums) -> str:
-    """Every measure that is stored or that a table asks for."""
-    store, rows = sums.store, []
+
+def _slopes(fleet: FleetFigures) -> str:
+    """The fitted line of every measure that is stored or that a table asks for."""
+    store = fleet.store
+    rows = []
     for name in sorted({*store.measures, *store.wanted}, key=lambda name: (store.groups.get(name, "~"), name)):
         measure = store.measures.get(name)
         if measure is None:
-            rows.append([name, *[NOT_MEASURED] * len(HEAD[2:]), ""])
+            rows.append([name, *[NOT_MEASURED] * len(SLOPES_HEAD[2:]), ""])
             continue
-        fit, group = measure.fit(), store.groups[name]
+        fit = measure.fit()
+        group = store.groups[name]
         shape = "a line" if fit.linear else f"misses a line by {fit.bend:.0%}, exponent {fit.exponent:.2f}"
-        slope = plain(fit.slope) + ("" if fit.low == fit.high else f" ({plain(fit.low)} to {plain(fit.high)})")
-        sizes = ", ".join(plain(size, WHOLE) for size, _ in measure.points)
+        slope = format_number(fit.slope)
+        if fit.low != fit.high:
+            slope += f" ({format_number(fit.low)} to {format_number(fit.high)})"
+        sizes = ", ".join(format_number(size, GIVEN_DIGITS) for size, _ in measure.points)
         values = ", ".join(f"{key} {value}" for key, value in sorted(measure.held.items()))
         rows.append(
             [
                 name,
                 slope,
-                plain(fit.intercept),
-                plain(fit.residual),
+                format_number(fit.intercept),
+                format_number(fit.residual),
                 shape,
                 sizes,
                 values,
                 f"`oakfork lab scale {group}`",
             ]
         )
-    return markdown(HEAD, rows)
+    return markdown_table(SLOPES_HEAD, rows)
 
 
-HEAD = ["measure", "one more costs", "at none", "residual", "growth", "sizes", "held", "measured again by"]
-
-
-def _runs(sums: Sums) -> str:
-    """What holds of each run: what its group has stored beside its measures."""
+def _runs(fleet: FleetFigures) -> str:
+    """What holds of each run: the scalars that its group has stored beside its measures."""
     rows = []
-    for group, told in sums.store.files.items():
+    for group, document in fleet.store.files.items():
         scalars = {
             key: value
-            for key, value in told.items()
+            for key, value in document.items()
             if key not in ("group", "command", "measures") and isinstance(value, str | int | float)
         }
-        said = "; ".join(
-            f"{key}: {plain(value) if isinstance(value, float) else value}" for key, value in scalars.items()
+        facts = "; ".join(
+            f"{key}: {format_number(value) if isinstance(value, float) else value}" for key, value in scalars.items()
         )
-        rows.append([group, said, f"`oakfork lab scale {group}`"])
-    return markdown(["group", "what holds of the run", "measured again by"], rows or [["", NOT_MEASURED, ""]])
+        rows.append([group, facts, f"`oakfork lab scale {group}`"])
+    return markdown_table(["group", "what holds of the run", "measured again by"], rows or [["", NOT_MEASURED, ""]])
 
 
 def tables(
-    folder: Path, budget: Budget | None = None, unknown: Open | None = None, today: Today | None = None
+    folder: Path,
+    budget: Budget | None = None,
+    assumptions: Assumptions | None = None,
+    bounds: ProgramBounds | None = None,
 ) -> dict[str, str]:
-    """All tables by name; raises ValueError or OSError where a stored file is not one of ours."""
-    sums = Sums(Store(folder), budget or Budget(), unknown or Open(), today or Today())
-    groups, columns = sums.store.groups, [view.name for view in sums.budget.views]
-    found = {"budget": _budget(sums), "assumptions": _assumptions(sums)}
-    found |= {name: shown(columns, rows(sums), groups) for name, rows in BY_VIEW.items()}
-    found["apart"] = shown([columns[0]], days.apart(sums), groups)
-    found["relayed"] = shown([capacity_control.gateways_of(sums.budget)], capacity_control.relayed(sums), groups)
-    found["agreed"] = shown(capacity_control.AGREED, capacity_control.agreed(sums), groups)
-    found["added"] = shown(["p50", "p99"], days.added(sums), groups)
-    found["parts"] = days.parts(sums)
-    found["missing"] = capacity_gaps.missing(sums)
-    return found | {"slopes": _slopes(sums), "runs": _runs(sums)}
+    """All tables by name, from the files of a folder and the planned fleet.
+
+    Raises OSError, ValueError, KeyError or TypeError where a stored file has another format.
+    """
+    fleet = FleetFigures(Store(folder), budget or Budget(), assumptions or Assumptions(), bounds or ProgramBounds())
+    groups = fleet.store.groups
+    columns = [view.name for view in fleet.budget.views]
+    by_name = {"budget": _budget(fleet), "assumptions": _assumptions(fleet)}
+    by_name |= {name: render_rows(columns, rows(fleet), groups) for name, rows in BY_VIEW.items()}
+    by_name["apart"] = render_rows([columns[0]], days.partition_rows(fleet), groups)
+    planned = capacity_control.gateways_of(fleet.budget)
+    by_name["relayed"] = render_rows([planned], capacity_control.relayed_rows(fleet), groups)
+    by_name["agreed"] = render_rows(capacity_control.AGREED, capacity_control.agreement_rows(fleet), groups)
+    by_name["added"] = render_rows(["p50", "p99"], days.added_rows(fleet), groups)
+    by_name["parts"] = days.parts_table(fleet)
+    by_name["missing"] = capacity_gaps.missing_table(fleet)
+    return by_name | {"slopes": _slopes(fleet), "runs": _runs(fleet)}
 
 
 def names_in(page: str) -> list[str]:
-    """The tables that a page marks; raises ScaleError where a marker has no other end, or a name stands twice."""
-    found = [match["name"] for match in MARKED.finditer(page)]
-    if len(MARKER.findall(page)) != 2 * len(found) or len(set(found)) != len(found):
-        raise MeasurementError("a marker without its other end, or a table marked twice")
-    return found
+    """The tables that a page has markers for.
+
+    Raises MeasurementError where a marker has no counterpart or a table is marked twice.
+    """
+    names = [match["name"] for match in MARKED.finditer(page)]
+    if len(MARKER.findall(page)) != 2 * len(names) or len(set(names)) != len(names):
+        raise MeasurementError("the page has a table marker without its counterpart, or marks a table twice")
+    return names
+
 
+def fill_page(page: str, by_name: dict[str, str]) -> str:
+    """The page with the tables between its markers.
 
-def fill_page(page: str, found: dict[str, str]) -> str:
-    """The page with the tables between its markers; raises ScaleError where either has one that the other has not."""
+    Raises MeasurementError where the page marks a table that does not exist, or lacks the markers of one.
+    """
     marked = set(names_in(page))
-    if marked != found.keys():
-        raise MeasurementError(f"marked or written, but not both: {', '.join(sorted(marked ^ found.keys()))}")
+    if marked != by_name.keys():
+        differences = ", ".join(sorted(marked ^ by_name.keys()))
+        raise MeasurementError(f"the markers of the page and the tables differ: {differences}")
     return MARKED.sub(
-        lambda match: f"<!-- table: {match['name']} -->\n{found[match['name']]}\n<!-- end of table -->", page
+        lambda match: f"<!-- table: {match['name']} -->\n{by_name[match['name']]}\n<!-- end of table -->", page
     )
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -1,4 +1,4 @@
-"""docs/CAPACITY.md: its tables come from stored measures and the budget alone; and the command that measures."""
+"""The tables of docs/CAPACITY.md, which come from stored measures and the budget only, and their command line."""
 
 import ast
 import dataclasses
@@ -25,15 +25,15 @@
     lease_costs,
     server_lists,
 )
-from oakfork.lab.scale.budget import Budget, Open, Today
-from oakfork.lab.scale.capacity_figures import Figure, Store, exact, plain
-from oakfork.lab.scale.capacity_roles import Sums
+from oakfork.lab.scale.budget import Assumptions, Budget, ProgramBounds
+from oakfork.lab.scale.capacity_figures import Figure, Store, exact, format_number
+from oakfork.lab.scale.capacity_roles import FleetFigures
 from oakfork.lab.scale.slopes import Measure, store
 from oakfork.sockets import discovery, http_connection
 
 PAGE, STORED = ROOT / "docs/CAPACITY.md", ROOT / "experiments/scale"
 TABLE_FILES = sorted((ROOT / "oakfork/lab/scale").glob("capacity*.py"))
-# Keys of stored files and names of measures that hold a digit.
+# Keys of stored files and names of measures that contain a digit.
 KEYS = {"p50_ms", "p99_ms", "p99_over_p99_ms", "99 in 100", "p50", "p99", "p50 ms", "p99 ms"}
 PLANNED = {
     "servers": 41_000,
@@ -48,25 +48,28 @@
 
 def names():
     """Every measure that a table asks for."""
-    asked = Store(Path("/nowhere"))
-    sums = Sums(asked, Budget(), Open(), Today())
+    empty = Store(Path("/nowhere"))
+    fleet = FleetFigures(empty, Budget(), Assumptions(), ProgramBounds())
     for rows in (
         *capacity_tables.BY_VIEW.values(),
-        capacity_tables.days.apart,
-        capacity_tables.days.added,
-        capacity_gaps.lacks,
+        capacity_tables.days.partition_rows,
+        capacity_tables.days.added_rows,
+        capacity_gaps.missing_mechanisms,
     ):
-        rows(sums)
-    return asked.wanted
+        rows(fleet)
+    return empty.wanted
 
 
-def stored(folder, scale=1.0, but=None, left_out=()):
-    """A made store: each measure a line, a costlier one the later it stands; `but` names values at the planned size."""
+def store_generated(folder, scale=1.0, overrides=None, left_out=()):
+    """Stores generated measures: each is a line, and each costs more than the one before.
+
+    `overrides` gives values at the planned size by name, `left_out` names measures that are not stored.
+    """
     measures = []
     for number, name in enumerate(names(), 1):
         by = re.search(r" by (servers changed|\w+)", name)[1]
         last = PLANNED[by]
-        end = (but or {}).get(name, number * 1e-5 * scale)
+        end = (overrides or {}).get(name, number * 1e-5 * scale)
         points = [(size, [end * (1 + size / last) / 2]) for size in (1, last / 100, last / 10, last)]
         if name not in left_out:
             measures.append(Measure(name, "units", by, points, {"others": 3}))
@@ -88,45 +91,51 @@
 
 
 def cells(table):
-    """Rows of cells, without the head."""
+    """The cells of a Markdown table by row, without the head."""
     return [[cell.strip() for cell in line.strip("|").split(" | ")] for line in table.splitlines()[2:]]
 
 
-def test_the_page_is_what_the_stored_measures_and_the_budget_give():
+def test_page_has_the_tables_of_the_stored_measures():
+    """Guards against a page that was not written again after a measurement or a change of the budget."""
     text = PAGE.read_text()
     assert (
         capacity_tables.fill_page(text, capacity_tables.tables(STORED)) == text
     ), "oakfork lab scale --page docs/CAPACITY.md"
 
 
-def test_a_page_that_differs_is_found(tmp_path):
-    found = capacity_tables.tables(stored(tmp_path))
-    page = capacity_tables.fill_page(PAGE.read_text(), found)
-    assert capacity_tables.fill_page(page, found) == page
+def test_check_finds_a_page_that_differs(tmp_path):
+    """A number changed by hand is replaced when the page is filled, and `--check` fails for such a page."""
+    by_name = capacity_tables.tables(store_generated(tmp_path))
+    page = capacity_tables.fill_page(PAGE.read_text(), by_name)
+    assert capacity_tables.fill_page(page, by_name) == page
     for number in re.findall(r"(?<=\| )\d[\d,.]*(?= )", page)[::40]:
         changed = page.replace(f"| {number} ", "| 77777 ", 1)
-        assert changed != page and capacity_tables.fill_page(changed, found) == page
+        assert changed != page
+        assert capacity_tables.fill_page(changed, by_name) == page
     (tmp_path / "page.md").write_text(page.replace("| 2,700 gateways", "| 2,701 gateways", 1))
     words = ["lab", "scale", "--page", str(tmp_path / "page.md"), "--to", str(tmp_path), "--check"]
     assert CliRunner().invoke(main, words).exit_code == 1
     assert CliRunner().invoke(main, words[:-1]).exit_code == 0
-    assert (tmp_path / "page.md").read_text() == page and CliRunner().invoke(main, words).exit_code == 0
+    assert (tmp_path / "page.md").read_text() == page
+    assert CliRunner().invoke(main, words).exit_code == 0
 
 
-def test_every_marker_has_a_table_and_every_table_a_marker(tmp_path):
-    text, found = PAGE.read_text(), capacity_tables.tables(stored(tmp_path))
-    assert set(capacity_tables.names_in(text)) == found.keys()
+def test_markers_and_tables_must_match(tmp_path):
+    """Every marker of the page has a table and the reverse; broken markers are errors."""
+    text = PAGE.read_text()
+    by_name = capacity_tables.tables(store_generated(tmp_path))
+    assert set(capacity_tables.names_in(text)) == by_name.keys()
     with pytest.raises(MeasurementError, match="zone"):
-        capacity_tables.fill_page(text.replace("table: zone", "table: zones"), found)
+        capacity_tables.fill_page(text.replace("table: zone", "table: zones"), by_name)
     with pytest.raises(MeasurementError, match="peak"):
-        capacity_tables.fill_page(text, {name: table for name, table in found.items() if name != "peak"})
+        capacity_tables.fill_page(text, {name: table for name, table in by_name.items() if name != "peak"})
     for broken in (
         text.replace("<!-- end of table -->", "", 1),
         text.replace("<!-- table: zone -->", "", 1),
         text + "\n<!-- table: zone -->\n<!-- end of table -->\n",
     ):
         with pytest.raises(MeasurementError, match="twice"):
-            capacity_tables.fill_page(broken, found)
+            capacity_tables.fill_page(broken, by_name)
 
 
 def strings_and_numbers(path):
@@ -146,32 +155,36 @@
     return [node.value for node in ast.walk(tree) if isinstance(node, ast.Constant) and id(node) not in beside]
 
 
-def test_no_figure_is_typed_where_tables_are_made():
+def test_table_modules_contain_no_literal_figures():
+    """Figures must come from measures and the budget: no literal number can reach a table."""
     for path in TABLE_FILES:
         for literal in strings_and_numbers(path):
             if isinstance(literal, str):
-                cut = literal == "0" and path.stem == "capacity_figures"  # behind a point
-                assert cut or literal in KEYS or not re.search(r"\d", literal), (path.name, literal)
+                trailing_zero = literal == "0" and path.stem == "capacity_figures"  # cut off decimals
+                assert trailing_zero or literal in KEYS or not re.search(r"\d", literal), (path.name, literal)
             elif isinstance(literal, int | float) and path.stem != "capacity_figures":
                 assert literal in (0, 1, 2), (path.name, literal)
 
 
 def test_figures_follow_the_stored_measures(tmp_path):
-    one, two = (capacity_tables.tables(stored(tmp_path / str(scale), scale)) for scale in (1.0, 1.7))
-    followed = 0
+    """Every figure that names a measure changes when all measures change, and no other one does."""
+    one, two = (capacity_tables.tables(store_generated(tmp_path / str(scale), scale)) for scale in (1.0, 1.7))
+    changed = 0
     for name in (*capacity_tables.BY_VIEW, "apart", "added"):
         for first, second in zip(cells(one[name]), cells(two[name]), strict=True):
             measured = "`" in first[-2]
             for before, after in zip(first[1:-4], second[1:-4], strict=True):
                 same = before == after
                 assert same != measured or before == "none" or before.startswith("not "), (name, first, second)
-                followed += measured
-    assert followed > 80
-    assert one["parts"] != two["parts"] and one["slopes"] != two["slopes"] and one["missing"] != two["missing"]
+                changed += measured
+    assert changed > 80
+    for name in ("parts", "slopes", "missing"):
+        assert one[name] != two[name], name
 
 
-def test_figures_follow_the_operators_table_the_assumptions_and_the_program(tmp_path):
-    folder = stored(tmp_path)
+def test_figures_follow_the_budget_the_assumptions_and_the_program_bounds(tmp_path):
+    """Guards against a field that no table uses any more, and against a value that was copied into a table."""
+    folder = store_generated(tmp_path)
     fields = [field.name for field in dataclasses.fields(Budget)]
     base = capacity_tables.tables(folder)
     for field in fields:
@@ -179,43 +192,59 @@
             folder, dataclasses.replace(Budget(), **{field: getattr(Budget(), field) * 0.9})
         )
         assert changed["budget"] != base["budget"], field
-        if field not in ("routes", "services", "machines", "apart", "failed", "restarted", "tenants", "requests"):
+        if field not in ("routes", "services", "machines", "partition_s", "failed", "restarted", "tenants", "requests"):
             assert changed["missing"] != base["missing"], field
-    for row in Open().rows:
+    for row in Assumptions().rows:
         if row.value is not None:
-            rows = tuple(one._replace(value=one.value * 2) if one.name == row.name else one for one in Open().rows)
-            changed = capacity_tables.tables(folder, None, Open(rows))
+            rows = tuple(
+                one._replace(value=one.value * 2) if one.name == row.name else one for one in Assumptions().rows
+            )
+            changed = capacity_tables.tables(folder, None, Assumptions(rows))
             assert any(changed[name] != base[name] for name in base if name != "assumptions"), row.name
-    for field in dataclasses.fields(Today):
+    for field in dataclasses.fields(ProgramBounds):
         if field.name != "silent_after" and field.name != "wait_part":
             changed = capacity_tables.tables(
-                folder, None, None, dataclasses.replace(Today(), **{field.name: getattr(Today(), field.name) * 4})
+                folder,
+                None,
+                None,
+                dataclasses.replace(ProgramBounds(), **{field.name: getattr(ProgramBounds(), field.name) * 4}),
             )
             assert changed != base, field.name
 
 
-def test_what_figures_take_from_the_program_stands_there():
-    today = Today()
+def test_program_bounds_equal_the_constants_of_the_program():
+    """Figures that rest on a constant of the program must change with it."""
+    bounds = ProgramBounds()
     quotas, servers = ((ROOT / f"oakfork/decision/{name}.py").read_text() for name in ("quotas", "servers"))
-    assert f"SECOND // {1 / today.retry_s:g}, serial" in quotas and f"soft // {1 / today.wait_part:g}," in quotas
-    assert f"tries = {today.tries:g} if plan.ceiling_rate" in quotas
-    assert f"(peer.missed < {today.silent_after:g} or now >= peer.next_try)" in quotas
-    assert (
-        f"first : first + {today.row:g}]" in servers and f"{today.row:g} * total / max({today.row:g}, size)" in servers
-    )
-    assert (discovery.HOLD, discovery.TOLD, http_connection.LARGEST_BODY) == (today.watch_s, today.told_s, today.body)
-
-
-def test_the_operators_table():
-    told = Budget()
-    assert (told.gateways, told.servers, told.services, told.regions, told.zones) == (2700, 41000, 2000, 7, 16)
-    assert (told.requests, told.routes, told.tenants, told.added_ms, told.changes) == (320000, 58000, 59000, 4.9, 2000)
-    assert (told.in_force, told.core, told.memory, told.traffic, told.machines) == (16, 0.011, 128e6, 2000, 12)
-    assert (told.failed, told.restarted) == (63, 2500) and round(told.asked, 1) == 118.5
-    assert budgets.sharing(told.all_services, 16) == 3 and budgets.cold_budget(16) == 26
-
-
-def test_what_is_not_measured_is_said_so_and_breaks_nothing(tmp_path):
+    assert f"SECOND // {1 / bounds.retry_s:g}, serial" in quotas
+    assert f"soft // {1 / bounds.wait_part:g}," in quotas
+    assert f"tries = {bounds.tries:g} if plan.ceiling_rate" in quotas
+    assert f"(peer.missed < {bounds.silent_after:g} or now >= peer.next_try)" in quotas
+    kept = f"{bounds.kept_servers:g}"
+    assert f"first : first + {kept}]" in servers
+    assert f"{kept} * total / max({kept}, size)" in servers
+    assert discovery.HOLD == bounds.watch_s
+    assert discovery.TOLD == bounds.change_delay_s
+    assert http_connection.LARGEST_BODY == bounds.max_body
+
+
+def test_budget_has_the_planned_values():
+    """The planned fleet and its budgets must not change by accident."""
+    budget = Budget()
+    fleet = (budget.gateways, budget.servers, budget.services, budget.regions, budget.zones)
+    assert fleet == (2700, 41000, 2000, 7, 16)
+    load = (budget.requests, budget.routes, budget.tenants, budget.added_ms, budget.changes)
+    assert load == (320000, 58000, 59000, 4.9, 2000)
+    control = (budget.in_force, budget.core, budget.memory, budget.traffic, budget.machines)
+    assert control == (16, 0.011, 128e6, 2000, 12)
+    assert (budget.failed, budget.restarted) == (63, 2500)
+    assert round(budget.requests_per_gateway, 1) == 118.5
+    assert budgets.sharing_gateways(budget.all_services, 16) == 3
+    assert budgets.cold_server_budget(16) == 26
+
+
+def test_missing_measures_show_as_not_measured(tmp_path):
+    """Without any measure, or without a single one, all tables are written and say so."""
     found = capacity_tables.tables(tmp_path)
     assert all(
         "not measured" in found[name]
@@ -238,34 +267,42 @@
     )
     assert not re.search(r"\bnan\b", "".join(found.values()))
     for place, name in enumerate(names()[::9]):
-        found = capacity_tables.tables(stored(tmp_path / str(place), left_out=[name]))
+        found = capacity_tables.tables(store_generated(tmp_path / str(place), left_out=[name]))
         assert next(row for row in cells(found["slopes"]) if row[0] == name)[1] == "not measured", name
 
 
 def outcomes(folder):
+    """Mechanism and outcome of each row of the table of missing mechanisms."""
     return [(row[1], row[4]) for row in cells(capacity_tables.tables(folder)["missing"])]
 
 
-def test_missing_mechanisms_stand_in_the_order_of_what_breaks_first(tmp_path):
-    sums = Sums(Store(stored(tmp_path / "one")), Budget(), Open(), Today())
-    order = [lack.outcome for lack in capacity_gaps.lacks(sums)]
+def test_missing_mechanisms_are_ordered_by_what_breaks_first(tmp_path):
+    """Those without any way come first, then by the share of the planned size; outcomes follow the measures."""
+    fleet = FleetFigures(Store(store_generated(tmp_path / "one")), Budget(), Assumptions(), ProgramBounds())
+    order = [mechanism.outcome for mechanism in capacity_gaps.missing_mechanisms(fleet)]
     assert order == sorted(order, key=("no way at all", "misses", "not measured", "holds").index)
     assert order[0] == "no way at all"
-    parts = [lack.part for lack in capacity_gaps.lacks(sums) if lack.outcome == "misses"]
-    assert parts == sorted(parts) and all(part <= 1 for part in parts)
+    parts = [
+        mechanism.planned_share
+        for mechanism in capacity_gaps.missing_mechanisms(fleet)
+        if mechanism.outcome == "misses"
+    ]
+    assert parts == sorted(parts)
+    assert all(part <= 1 for part in parts)
     stall = "change of one server by servers: seconds"
     for cost, outcome in ((1.0, "misses"), (1e-9, "holds")):
-        found = outcomes(stored(tmp_path / str(cost), but={stall: cost}))
-        assert next(said for name, said in found if name.startswith("a change of one server at a cost")) == outcome
+        found = outcomes(store_generated(tmp_path / str(cost), overrides={stall: cost}))
+        assert next(result for name, result in found if name.startswith("a change of one server at a cost")) == outcome
     assert ("many changes at once, in parts or taken in at that length", "no way at all") in outcomes(
-        stored(tmp_path / "long", but={"changes by servers changed: bytes": 1e6})
+        store_generated(tmp_path / "long", overrides={"changes by servers changed: bytes": 1e6})
     )[:3]
     assert [outcome for _, outcome in outcomes(tmp_path / "one")[:2]] == ["no way at all"] * 2  # decisions, the tier
-    first = outcomes(stored(tmp_path / "dear", but={"process by servers: seconds to ready": 1e6}))[2]
+    first = outcomes(store_generated(tmp_path / "dear", overrides={"process by servers: seconds to ready": 1e6}))[2]
     assert first == ("a start within the time of a change, while a restart is its only way", "misses")
 
 
-def test_the_groups_have_the_names_that_the_page_asks_for():
+def test_groups_measure_what_the_tables_ask_for():
+    """A measure that is renamed in its group would be missing on the page."""
     wanted = names()
     for group in (server_lists, lease_costs):
         measures, _ = group.measure(lambda line: None, True)
@@ -277,9 +314,11 @@
     )
 
 
-def test_the_largest_size_is_foretold_by_the_smaller_ones_alone(tmp_path):
+def test_largest_size_is_predicted_from_smaller_sizes_only(tmp_path):
+    """A prediction that used the largest size itself would always agree with it."""
     few = [(size, [10.0 * size]) for size in (1, 2, 3, 4)]
-    name, other = capacity_control.CAME, capacity_control.WENT
+    name = capacity_control.RECEIVED_AT_REST
+    other = capacity_control.SENT_AT_REST
     store(
         tmp_path,
         "control",
@@ -288,19 +327,25 @@
             Measure(other, "bytes", "gateways", few),
         ],
     )
-    foretold, played = Store(tmp_path).foretold(name)
-    assert (round(foretold.value, 6), played.value, played.low, played.high) == (100, 150, 140, 160)
-    told = [row[1:4] for row in cells(capacity_tables.tables(tmp_path)["agreed"])]
-    assert told[0] == ["100", "150 (140 to 160)", "1.5"] and told[1] == ["not measured"] * 3
-
-
-def test_figures_keep_intervals_and_what_they_rest_on():
-    one, two = Figure(10.0, 8.0, 12.0, ("a",)), Figure(2.0, 1.0, 4.0, ("b",), ("x",))
+    predicted, measured = Store(tmp_path).predicted(name)
+    assert round(predicted.value, 6) == 100
+    assert (measured.value, measured.low, measured.high) == (150, 140, 160)
+    rows = [row[1:4] for row in cells(capacity_tables.tables(tmp_path)["agreed"])]
+    assert rows[0] == ["100", "150 (140 to 160)", "1.5"]
+    assert rows[1] == ["not measured"] * 3
+
+
+def test_arithmetic_of_figures_keeps_intervals_and_origin():
+    """Sums, quotients and missing values carry their interval, measures and assumptions; numbers are shown plainly."""
+    one = Figure(10.0, 8.0, 12.0, ("a",))
+    two = Figure(2.0, 1.0, 4.0, ("b",), ("x",))
     assert (one - two) == Figure(8.0, 4.0, 11.0, ("a", "b"), ("x",))
-    assert (one / two) == Figure(5.0, 2.0, 12.0, ("a", "b"), ("x",)) and str(one * 2) == "20 (16 to 24)"
-    assert (one + Figure(None, measures=("c",))).value is None and str(exact(1) / 0) == "none"
+    assert (one / two) == Figure(5.0, 2.0, 12.0, ("a", "b"), ("x",))
+    assert str(one * 2) == "20 (16 to 24)"
+    assert (one + Figure(None, measures=("c",))).value is None
+    assert str(exact(1) / 0) == "none"
     assert capacity_figures.origin([one * two], {"a": "module"}) == "`a` (module); `b`; assumed: x"
-    assert [plain(value) for value in (0.0, 41_000, 118.518, 0.01234, 1.234e-6, 2_562.5, 1e9)] == [
+    assert [format_number(value) for value in (0.0, 41_000, 118.518, 0.01234, 1.234e-6, 2_562.5, 1e9)] == [
         "0",
         "41,000",
         "119",
@@ -311,34 +356,41 @@
     ]
 
 
-def test_costs_between_measured_sizes_lie_between_their_neighbours(tmp_path):
+def test_costs_between_measured_sizes_are_interpolated(tmp_path):
+    """Where growth bends, the fitted line would be far from the measured neighbours."""
     points = [(size, [size**2]) for size in (1, 10, 100, 1000)]
     store(tmp_path, "bent", [Measure("square", "units", "servers", points)])
-    told = Store(tmp_path)
-    assert told.at("square", 55).value == 100 + 45 / 90 * 9900 and told.at("square", 100).value == 10_000
-    assert told.grown("square", 10).value == 99 and told.crosses("square", 1e12).value > 1000
-    assert told.at("circle", 1).value is None and told.wanted == ["square", "circle"]
+    measures = Store(tmp_path)
+    assert measures.at("square", 55).value == 100 + 45 / 90 * 9900
+    assert measures.at("square", 100).value == 10_000
+    assert measures.growth("square", 10).value == 99
+    assert measures.crosses("square", 1e12).value > 1000
+    assert measures.at("circle", 1).value is None
+    assert measures.wanted == ["square", "circle"]
 
 
 @pytest.fixture
 def group(monkeypatch):
-    """A group that takes no time."""
+    """A group whose measurement takes no time."""
 
-    def measure(told, small):
-        told("a line")
+    def measure(report, small):
+        report("a line")
         points = [(size, [size + small]) for size in (1, 2, 3, 4)]
         return [Measure("cost by servers", "bytes", "servers", points)], {"python": "3"}
 
-    made = types.ModuleType("made")
-    made.GROUP, made.measure = "lists", measure
-    monkeypatch.setitem(sys.modules, "made", made)
-    monkeypatch.setattr(cli, "GROUPS", {"lists": "made"})
+    module = types.ModuleType("fake_group")
+    module.GROUP = "lists"
+    module.measure = measure
+    monkeypatch.setitem(sys.modules, "fake_group", module)
+    monkeypatch.setattr(cli, "GROUPS", {"lists": "fake_group"})
 
 
-def test_the_command_measures_stores_and_shows(tmp_path, group, monkeypatch):
+def test_command_measures_stores_and_shows(tmp_path, group, monkeypatch):
+    """Full measurements are stored by default, small ones only where a folder is named."""
     monkeypatch.chdir(tmp_path)
     done = CliRunner().invoke(main, ["lab", "scale", "lists"])
-    assert done.exit_code == 0 and "cost by servers: 1 bytes" in done.output
+    assert done.exit_code == 0
+    assert "cost by servers: 1 bytes" in done.output
     assert json.loads((tmp_path / "experiments/scale/lists.json").read_text())["group"] == "lists"
     assert "cost by servers: 1 bytes" in CliRunner().invoke(main, ["lab", "scale", "--show"]).output
     before = (tmp_path / "experiments/scale/lists.json").read_text()
@@ -350,21 +402,25 @@
 
 
 @pytest.mark.parametrize(
-    "words, said",
+    "words, message",
     [
         (["sizes"], "'sizes' is not one of"),
         (["--check"], "--check needs --page"),
         (["--show", "lists"], "measure nothing"),
         (["--page", "/nowhere"], "No such file"),
-        (["--page", str(ROOT / "README.md")], "marked or written, but not both"),
+        (["--page", str(ROOT / "README.md")], "the markers of the page and the tables differ"),
     ],
 )
-def test_mistakes_on_the_line_are_told_on_one(words, said):
+def test_usage_errors_take_one_line(words, message):
+    """A wrong command line or file ends with status 2 and a single line that names the error."""
     done = CliRunner().invoke(main, ["lab", "scale", *words])
-    assert done.exit_code == 2 and said in done.output and len(done.output.strip().splitlines()) == 1
+    assert done.exit_code == 2
+    assert message in done.output
+    assert len(done.output.strip().splitlines()) == 1
 
 
-def test_the_command_line_imports_nothing_of_it_before_it_is_asked_for():
+def test_command_line_does_not_import_the_measurements():
+    """Other commands must start without numpy, scipy and the measuring modules."""
     code = (
         "import sys, oakfork.cli; "
         "print([name for name in ('numpy', 'scipy', 'oakfork.lab.scale') if name in sys.modules])"
