--- a/oakfork/lab/scale/budget.py
+++ b/oakfork/lab/scale/budget.py
@@ -210,7 +210,7 @@
 def sharing_gateways(view: View, kept_servers: float) -> float:
     """Gateways that share a cold server where connections have a price, as Servers.told computes them.
 
-    It adds the square root for the spread of a random count.
+    Like Servers.told it adds the square root of the mean number.
     """
     each = kept_servers * view.gateways / view.servers
     return min(view.gateways, int(each + math.sqrt(each)) + 1)
--- a/oakfork/lab/scale/fleet_faults.py
+++ b/oakfork/lab/scale/fleet_faults.py
@@ -22,7 +22,8 @@
 KINDS = ("kill relay", "stop relay", "kill publisher", "lose answer", "end in a frame", "cut region")
 PUBLISHER_KINDS = ("kill publisher", "lose answer")  # injected while a change set is being published
 LASTING_KINDS = ("stop relay", "cut region")
-SHORTEST_S, LONGEST_S = 0.2, 1.5  # how long the other kinds last
+SHORTEST_S = 0.2  # how long a fault of another kind lasts at least
+LONGEST_S = 1.5  # how long a fault of another kind lasts at most
 LOST_ANSWER_TIMEOUT_S = 4.0  # for a change set to be in force somewhere while its answer is dropped
 KILL_DELAY_DIVISOR = 100  # of `lasts`: the publisher is killed at most 15 ms after a change set was submitted
 CHANGE_SET_RECORDS = 4  # at most, of each change set that is published beside the faults
