--- a/oakfork/lab/scale/capacity_days.py
+++ b/oakfork/lab/scale/capacity_days.py
@@ -2,7 +2,7 @@
 
 from oakfork.lab.scale.budget import HOUR_S, MINUTE_S, MS_PER_S, View, cold_server_budget, sharing_gateways
 from oakfork.lab.scale.capacity_figures import NOT_MEASURED, Figure, Row, Store, exact, format_number, markdown_table
-from oakfork.lab.scale.capacity_measures import (
+from oakfork.lab.scale.capacity_roles import (
     ASKS_BY_RATE,
     CHANGE_BYTES,
     PROCESSOR_TO_READY,
@@ -10,11 +10,11 @@
     START_WITH_REPLIES,
     START_WITHOUT_REPLIES,
     WHOLE_LIST,
+    FleetFigures,
     bytes_a_second,
     in_bytes,
     seconds,
 )
-from oakfork.lab.scale.capacity_roles import FleetFigures
 
 
 def zone_servers(fleet: FleetFigures, view: View) -> float:
--- a/oakfork/lab/scale/capacity_gaps.py
+++ b/oakfork/lab/scale/capacity_gaps.py
@@ -14,7 +14,7 @@
     markdown_table,
     origin,
 )
-from oakfork.lab.scale.capacity_measures import (
+from oakfork.lab.scale.capacity_roles import (
     ASKS_BY_RATE,
     AT_REST,
     CHANGE_BYTES,
@@ -25,11 +25,11 @@
     SECONDS_TO_READY,
     START_WITH_REPLIES,
     START_WITHOUT_REPLIES,
+    FleetFigures,
     bytes_a_second,
     in_bytes,
     seconds,
 )
-from oakfork.lab.scale.capacity_roles import FleetFigures
 
 # Outcomes
 NO_WAY = "no way at all"
--- a/oakfork/lab/scale/capacity_roles.py
+++ b/oakfork/lab/scale/capacity_roles.py
@@ -4,27 +4,46 @@
 
 from oakfork.lab.scale.budget import DAY_S, MINUTE_S, MS_PER_S, Assumptions, Budget, ProgramBounds, View
 from oakfork.lab.scale.capacity_figures import Figure, Row, Store, exact
-from oakfork.lab.scale.capacity_measures import (
-    ASK_SERVED,
-    ASKS_BY_RATE,
-    AT_REST,
-    CHANGE_BYTES,
-    LIST_BYTES,
-    LIST_CHANGE,
-    MEMORY_BY_CUSTOMERS,
-    MEMORY_BY_GATEWAYS,
-    MEMORY_BY_SERVERS,
-    PROCESSOR_TO_READY,
-    RPC_AT_OWNER,
-    RPC_THAT_ASKS,
-    SECONDS_TO_READY,
-    START_WITH_REPLIES,
-    START_WITHOUT_REPLIES,
-    WHOLE_LIST,
-    bytes_a_second,
-    in_bytes,
-    seconds,
-)
+
+# Names of measures, or of what they measure
+RPC_AT_OWNER = "rpc at its owner"
+RPC_THAT_ASKS = "rpc that asks"
+ASK_SERVED = "ask served"
+LIST_CHANGE = "change of one server"
+WHOLE_LIST = "whole list"
+MEMORY_BY_SERVERS = "process by servers: bytes of memory"
+MEMORY_BY_GATEWAYS = "process by gateways: bytes of memory"
+MEMORY_BY_CUSTOMERS = "memory of the module by customers: bytes"
+START_WITHOUT_REPLIES = "start by gateways, none replies"
+START_WITH_REPLIES = "start by gateways, all reply"
+AT_REST = "rest by gateways"
+ASKS_BY_RATE = "asks by rate"
+CHANGE_BYTES = "changes by servers changed: bytes"
+WITH_HEADERS = ", with headers"  # of IPv4 and UDP
+LIST_BYTES = "whole list by servers: bytes"
+SECONDS_TO_READY = "process by servers: seconds to ready"
+PROCESSOR_TO_READY = "process by servers: processor seconds to ready"
+VOTER_FRAMES = "leases by gateways: frames a second of all voters"
+WATCHER_FRAMES = "leases by gateways: frames a second of a watcher"
+VOTER_BYTES_SENT = "leases by gateways: bytes a second sent by a voter"
+VOTER_BYTES_RECEIVED = "leases by gateways: bytes a second received by a voter"
+VOTER_PROCESSOR = "leases by gateways: processor seconds of a voter a second"
+VOTER_STATE_BYTES = "leases by gateways: bytes of state of all voters"
+
+
+def seconds(what: str, by: str) -> str:
+    """The name of a measure of the decision module's processor time."""
+    return f"{what} by {by}: seconds"
+
+
+def in_bytes(what: str) -> str:
+    """The name of a measure of the bytes of a start, with headers."""
+    return f"{what}: bytes{WITH_HEADERS}"
+
+
+def bytes_a_second(what: str, way: str = "") -> str:
+    """The name of a measure of bytes a second, with headers: at rest, or of asks (" sent" or " received")."""
+    return f"{what}: bytes a second{way}{WITH_HEADERS}"
 
 
 class FleetFigures:
@@ -315,6 +334,46 @@
     ]
 
 
+def voter_rows(fleet: FleetFigures) -> list[Row]:
+    """The voters of leases."""
+    both = fleet.for_views
+    at = fleet.store.at
+    budget = fleet.budget
+    return [
+        Row(
+            "frames a second of all voters together",
+            both(lambda view: at(VOTER_FRAMES, view.gateways)),
+            None,
+            "three voters contend among themselves: docs/leases.md",
+        ),
+        Row(
+            "frames a second of a watcher",
+            both(lambda view: at(WATCHER_FRAMES, view.gateways)),
+            None,
+            "a gateway that is no voter neither sends nor gets any",
+        ),
+        Row(
+            "bytes of state of all voters together",
+            both(lambda view: at(VOTER_STATE_BYTES, view.gateways)),
+            None,
+            "one vote and one contender a task",
+        ),
+        Row(
+            "bytes a second that a voter sends",
+            both(lambda view: at(VOTER_BYTES_SENT, view.gateways)),
+            budget.traffic,
+            "one task; each more costs as much again: oakfork/leases/voter.py",
+        ),
+        Row("... that it gets", both(lambda view: at(VOTER_BYTES_RECEIVED, view.gateways)), budget.traffic, "likewise"),
+        Row(
+            "part of a core of a voter",
+            both(lambda view: at(VOTER_PROCESSOR, view.gateways)),
+            budget.core,
+            "frames and machines, without the system's calls",
+        ),
+    ]
+
+
 def ask_rows(fleet: FleetFigures) -> list[Row]:
     """Both readings of the budget, with asks counted as control and without."""
     budget = fleet.budget
--- a/oakfork/lab/scale/capacity_tables.py
+++ b/oakfork/lab/scale/capacity_tables.py
@@ -21,7 +21,6 @@
     render_rows,
 )
 from oakfork.lab.scale.capacity_roles import FleetFigures
-from oakfork.lab.scale.capacity_voters import voter_rows
 
 MARKED = re.compile(r"^<!-- table: (?P<name>[a-z ]+) -->\n(?P<body>.*?)^<!-- end of table -->$", re.M | re.S)
 MARKER = re.compile(r"^<!-- (?:table: .*|end of table) -->$", re.M)
@@ -30,7 +29,7 @@
     "owner": roles.owner_rows,
     "control": roles.control_rows,
     "machines": roles.control_machine_rows,
-    "voters": voter_rows,
+    "voters": roles.voter_rows,
     "asks": roles.ask_rows,
     "peak": days.peak_rows,
     "bursts": days.burst_rows,
