--- a/oakfork/lab/scale/capacity_control.py
+++ b/oakfork/lab/scale/capacity_control.py
@@ -5,7 +5,7 @@
 
 from oakfork.lab.scale.budget import DAY_S, MS_PER_S, Budget
 from oakfork.lab.scale.capacity_figures import GIVEN_DIGITS, Figure, Row, exact, format_number
-from oakfork.lab.scale.capacity_roles import FleetFigures
+from oakfork.lab.scale.capacity_shared import FleetFigures
 
 GROUP = "control"
 
--- a/oakfork/lab/scale/capacity_days.py
+++ b/oakfork/lab/scale/capacity_days.py
@@ -2,7 +2,7 @@
 
 from oakfork.lab.scale.budget import HOUR_S, MINUTE_S, MS_PER_S, View, cold_server_budget, sharing_gateways
 from oakfork.lab.scale.capacity_figures import NOT_MEASURED, Figure, Row, Store, exact, format_number, markdown_table
-from oakfork.lab.scale.capacity_roles import (
+from oakfork.lab.scale.capacity_shared import (
     ASKS_BY_RATE,
     CHANGE_BYTES,
     PROCESSOR_TO_READY,
--- a/oakfork/lab/scale/capacity_gaps.py
+++ b/oakfork/lab/scale/capacity_gaps.py
@@ -14,7 +14,7 @@
     markdown_table,
     origin,
 )
-from oakfork.lab.scale.capacity_roles import (
+from oakfork.lab.scale.capacity_shared import (
     ASKS_BY_RATE,
     AT_REST,
     CHANGE_BYTES,
--- a/oakfork/lab/scale/capacity_tables.py
+++ b/oakfork/lab/scale/capacity_tables.py
@@ -20,7 +20,7 @@
     markdown_table,
     render_rows,
 )
-from oakfork.lab.scale.capacity_roles import FleetFigures
+from oakfork.lab.scale.capacity_shared import FleetFigures
 
 MARKED = re.compile(r"^<!-- table: (?P<name>[a-z ]+) -->\n(?P<body>.*?)^<!-- end of table -->$", re.M | re.S)
 MARKER = re.compile(r"^<!-- (?:table: .*|end of table) -->$", re.M)
