--- a/experiments/external_names.py
+++ b/experiments/external_names.py
@@ -21,7 +21,6 @@
 SERIALIZED_CLASSES = {
     "oakfork/control/status.py": ["_StatusPosition"],
     "oakfork/lab/load_generator.py": ["Report"],
-    "oakfork/lab/scale/control_costs.py": ["Planned"],
     "oakfork/lab/scale/added_latency_gateways.py": ["RpcTiming"],
     "oakfork/lab/scale/hollow_gateways.py": ["FollowerConfig", "Config"],
     "oakfork/lab/scale/slopes.py": ["Measure", "Fit"],
--- a/oakfork/lab/scale/fleet_measurement.py
+++ b/oakfork/lab/scale/fleet_measurement.py
@@ -265,8 +265,8 @@
         async with trio.open_nursery() as nursery:
             for _ in range(operators):
                 nursery.start_soon(submit)
-        if failures:
-            raise failures[0]
+        for error in failures[:1]:  # outside the nursery, which would wrap it in a group
+            raise error
         await fleet.wait_until_in_force(max(change.position for change in fleet.acknowledged), self.sizes.spread)
 
     async def _measure_cold(self, fleet: Fleet) -> None:
