--- a/oakfork/lab/scale/budget.py
+++ b/oakfork/lab/scale/budget.py
@@ -208,9 +208,9 @@
 
 
 def sharing_gateways(view: View, kept_servers: float) -> float:
-    """Gateways that share a cold server where connections have a price, as Servers.told computes them.
+    """Gateways that share a cold server where connections have a price, as Servers.update_list computes them.
 
-    Like Servers.told it adds the square root of the mean number.
+    Like Servers.update_list it adds the square root of the mean number.
     """
     each = kept_servers * view.gateways / view.servers
     return min(view.gateways, int(each + math.sqrt(each)) + 1)
--- a/oakfork/lab/scale/capacity_roles.py
+++ b/oakfork/lab/scale/capacity_roles.py
@@ -149,7 +149,7 @@
             "ms for which a change of one server stalls the gateway",
             both(lambda view: fleet.stall_seconds(view) * MS_PER_S),
             budget.added_ms,
-            "Servers.told looks at what the change names and at the few that any change may concern",
+            "Servers.update_list looks at what the change names and at the few that any change may concern",
         ),
         Row(
             "part of a core for changes, the mean day",
